--- a/judge/judge.h
+++ b/judge/judge.h
@@ -1,5 +1,6 @@
-// Judges a recorded day by the rules alone, from what crossed the sockets: the records of stand-ins and
-// scripted clients, and when the runner killed, stopped and started whom. Shares no code with what it judges.
+// Checks a recorded scenario ("day") against the rules. The input is what crossed the sockets, as recorded by
+// the stand-in nodes and scripted clients, and the times at which the runner killed, stopped and started each
+// process. Shares no code with the programs that it checks.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <string>
@@ -9,27 +10,33 @@
 
 using nlohmann::json;
 
+// The result for one rule.
 struct Rule {
   int number;
   std::string name;
-  bool kept = true;
-  long checked = 0;  // how often there was something to judge
-  long breaches = 0;
-  std::string first;  // the first breach, quoted
+  bool is_kept = true;
+  long check_count = 0;  // number of cases to which the rule applied
+  long breach_count = 0;
+  std::string first_breach;  // time and description of the first breach
 };
 
+// The results for all rules, and the figures of the run.
 struct Verdict {
   std::vector<Rule> rules;
   json figures;
-  bool kept() const;
+  // Whether no rule was broken.
+  bool all_kept() const;
   json to_json() const;
+  // The verdict as a text table, one line for each rule and figure.
   std::string table() const;
 };
 
-// day: the day file. events: all records in any order, each with "t" (microseconds, one clock).
+// Checks all rules. day: the parsed scenario file. events: all records in any order, each with "t" in
+// microseconds of one common clock.
 Verdict judge(const json& day, std::vector<json> events);
 
-// Reads DIR/day.json and DIR/record/*.jsonl; throws std::runtime_error with one line.
+// Checks the run recorded in FOLDER/day.json and FOLDER/record/*.jsonl. Throws std::runtime_error with a
+// one-line message where a file is missing or malformed.
 Verdict judge_folder(const std::string& folder);
 
 }  // namespace yewmount::judge
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -20,7 +20,7 @@
   if (const std::string why = yewmount::write_file(folder + "/verdict.json", text + "\n"); !why.empty())
     std::cerr << "yewmount: " << why << std::endl;
   std::cout << (json ? text + "\n" : verdict.table());
-  return verdict.kept() ? 0 : kBroken;
+  return verdict.all_kept() ? 0 : kBroken;
 }
 
 }  // namespace
