--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -1,5 +1,5 @@
-// Clients: arrivals by schedule that wait for no answer, over kept connections; some close while they wait,
-// some behave badly.
+// Clients: open-loop arrivals over kept-alive connections. Some clients close before the answer, some
+// misbehave.
 #include <algorithm>
 #include <asio.hpp>
 #include <deque>
@@ -15,11 +15,12 @@
 
 using asio::ip::tcp;
 
-constexpr int kMostConnections = 24;  // to one head, from one process
-constexpr std::size_t kPipelined = 3;
-constexpr int kLeftBehind = 120;  // commands of a rude client that closes behind them
-constexpr Micros kRudeEvery = 120 * kMillisecond;
+constexpr int kMaxConnectionsPerHead = 24;  // from one process
+constexpr std::size_t kMaxPipelined = 3;
+constexpr int kAbandonedRequests = 120;  // requests that a misbehaving client sends before it closes
+constexpr Micros kMisbehaviorInterval = 120 * kMillisecond;
 
+// The clients of one process.
 class Clients {
  public:
   Clients(asio::io_context& io, const Plan& plan, int number, const std::string& records)
@@ -27,12 +28,12 @@
         plan_(plan),
         number_(number),
         record_(records),
-        chance_(plan.seed * 77 + static_cast<unsigned>(number)),
-        arrival_(io),
-        rude_(io) {
-    pool_.resize(static_cast<std::size_t>(plan.heads));
-    next();
-    misbehave();
+        random_(plan.seed * 77 + static_cast<unsigned>(number)),
+        arrival_timer_(io),
+        misbehavior_timer_(io) {
+    connections_.resize(static_cast<std::size_t>(plan.heads));
+    schedule_arrival();
+    schedule_misbehavior();
   }
 
  private:
@@ -41,185 +42,195 @@
     tcp::socket socket;
     int head;
     std::string in;
-    std::array<char, 65536> part;
-    std::deque<std::string> open;
-    bool up = false, gone = false;
+    std::array<char, 65536> buffer;
+    std::deque<std::string> pending;
+    bool is_connected = false;
+    bool is_closed = false;
   };
-  using Shared = std::shared_ptr<Connection>;
+  using ConnectionPtr = std::shared_ptr<Connection>;
 
   tcp::endpoint address(int head) const { return {asio::ip::make_address(plan_.head(head)), Plan::kPort}; }
 
-  void next() {
+  void schedule_arrival() {
     const double rate = plan_.rate * plan_.heads / plan_.clients;
-    const double gap = std::exponential_distribution<double>(rate)(chance_);
-    arrival_.expires_after(std::chrono::microseconds(static_cast<long>(gap * 1e6)));
-    arrival_.async_wait([this](std::error_code) {
-      if (now() > plan_.start + plan_.length) return;
-      if (now() > plan_.start) ask(static_cast<int>(chance_() % static_cast<unsigned>(plan_.heads)));
-      next();
+    const double interval_s = std::exponential_distribution<double>(rate)(random_);
+    arrival_timer_.expires_after(std::chrono::microseconds(static_cast<long>(interval_s * 1e6)));
+    arrival_timer_.async_wait([this](std::error_code) {
+      if (monotonic_now() > plan_.start + plan_.length) return;
+      if (monotonic_now() > plan_.start)
+        send_request(static_cast<int>(random_() % static_cast<unsigned>(plan_.heads)));
+      schedule_arrival();
     });
   }
 
-  // On a connection that has none open, sometimes behind another; else on a new one.
-  void ask(int head) {
-    auto& pool = pool_[static_cast<std::size_t>(head)];
-    const std::size_t most = chance_() % 10 == 0 ? kPipelined : 1;
-    for (const Shared& c : pool)
-      if (c->up && c->open.size() < most) return send(c, false);
-    if (pool.size() >= kMostConnections) return;
-    auto c = std::make_shared<Connection>(io_, head);
-    pool.push_back(c);
-    c->socket.async_connect(address(head), [this, c](std::error_code error) {
-      if (error) return drop(c);
-      c->socket.set_option(tcp::no_delay(true));
-      c->up = true;
-      read(c);
-      send(c, false);
+  // Uses an idle connection, or sometimes pipelines behind pending requests; otherwise opens a new
+  // connection.
+  void send_request(int head) {
+    auto& connections = connections_[static_cast<std::size_t>(head)];
+    const std::size_t max_pending = random_() % 10 == 0 ? kMaxPipelined : 1;
+    for (const ConnectionPtr& connection : connections)
+      if (connection->is_connected && connection->pending.size() < max_pending)
+        return send(connection, false);
+    if (connections.size() >= kMaxConnectionsPerHead) return;
+    auto connection = std::make_shared<Connection>(io_, head);
+    connections.push_back(connection);
+    connection->socket.async_connect(address(head), [this, connection](std::error_code error) {
+      if (error) return remove(connection);
+      connection->socket.set_option(tcp::no_delay(true));
+      connection->is_connected = true;
+      read(connection);
+      send(connection, false);
     });
   }
 
-  std::string fresh_id() {
+  std::string next_id() {
     char id[17];
-    std::snprintf(id, sizeof id, "%02x%014x", number_ + 1, ++last_);
+    std::snprintf(id, sizeof id, "%02x%014x", number_ + 1, ++last_request_);
     return id;
   }
 
-  std::string command(const std::string& id, int kind, long wait) {
+  std::string build_command(const std::string& id, int kind, long timeout_ms) {
     const bool write = kind > 0;
     tests::Words words{write ? "BLK.WRITE" : "BLK.READ", "7f3a9c21e0b4d655", id,
-                       std::string("c=") + kClasses[kind] + ",t=gold,d=" + std::to_string(wait) +
-                           ",volume=00000003b4d60021,units=" + std::to_string(1 + chance_() % 3) +
-                           ",shard=" + std::to_string(static_cast<int>(chance_() % (plan_.nodes + 1)) - 1) +
+                       std::string("c=") + kIoGroups[kind] + ",t=gold,d=" + std::to_string(timeout_ms) +
+                           ",volume=00000003b4d60021,units=" + std::to_string(1 + random_() % 3) +
+                           ",shard=" + std::to_string(static_cast<int>(random_() % (plan_.nodes + 1)) - 1) +
                            ",hosts=" + std::to_string(plan_.heads)};
-    if (write) words.push_back(std::string(chance_() % 8 == 0 ? 60'000 : 100, 'b'));
+    if (write) words.push_back(std::string(random_() % 8 == 0 ? 60'000 : 100, 'b'));
     return tests::array_of(words);
   }
 
-  void send(const Shared& c, bool leaves_behind) {
-    const std::string id = fresh_id();
-    const int kind = static_cast<int>(chance_() % 3);
-    const long wait = 300 + static_cast<long>(chance_() % 1700);
-    const std::string bytes = command(id, kind, wait);
-    const std::string ahead = c->open.empty() ? "-" : c->open.back();
-    c->open.push_back(id);
+  void send(const ConnectionPtr& connection, bool is_abandoned) {
+    const std::string id = next_id();
+    const int kind = static_cast<int>(random_() % 3);
+    const long timeout_ms = 300 + static_cast<long>(random_() % 1700);
+    const std::string bytes = build_command(id, kind, timeout_ms);
+    const std::string ahead = connection->pending.empty() ? "-" : connection->pending.back();
+    connection->pending.push_back(id);
     std::error_code error;
-    asio::write(c->socket, asio::buffer(bytes), error);
-    if (error) return closed(c);
-    record_.write(now(), "ask", id, c->head, kClasses[kind], wait, ahead);
-    if (!leaves_behind && plan_.active(Trouble::leaving_clients, 0, now()) && chance_() % 4 == 0)
-      leave_soon(c);
+    asio::write(connection->socket, asio::buffer(bytes), error);
+    if (error) return handle_closed(connection);
+    record_.write(monotonic_now(), "ask", id, connection->head, kIoGroups[kind], timeout_ms, ahead);
+    if (!is_abandoned && plan_.is_active(Fault::leaving_clients, 0, monotonic_now()) && random_() % 4 == 0)
+      schedule_close(connection);
   }
 
-  void leave_soon(const Shared& c) {
-    auto timer = std::make_shared<asio::steady_timer>(io_, std::chrono::milliseconds(chance_() % 250));
-    timer->async_wait([this, c, timer](std::error_code) { leave(c); });
+  void schedule_close(const ConnectionPtr& connection) {
+    auto timer = std::make_shared<asio::steady_timer>(io_, std::chrono::milliseconds(random_() % 250));
+    timer->async_wait([this, connection, timer](std::error_code) { close_early(connection); });
   }
 
-  void leave(const Shared& c) {
-    if (c->gone) return;
+  void close_early(const ConnectionPtr& connection) {
+    if (connection->is_closed) return;
     std::error_code ignored;
-    if (chance_() % 2) c->socket.set_option(asio::socket_base::linger(true, 0), ignored);
-    for (const std::string& id : c->open) record_.write(now(), "left", id);
-    c->open.clear();
-    c->socket.close(ignored);
-    drop(c);
-  }
-
-  void read(const Shared& c) {
-    c->socket.async_read_some(asio::buffer(c->part), [this, c](std::error_code error, std::size_t n) {
-      if (c->gone) return;
-      if (error) return closed(c);
-      c->in.append(c->part.data(), n);
-      while (auto text = tests::next_answer(c->in)) {
-        if (c->open.empty()) {
-          record_.write(now(), "unasked", c->head);
-          continue;
-        }
-        std::ranges::replace(*text, ' ', '_');
-        record_.write(now(), "answer", c->open.front(), *text);
-        c->open.pop_front();
-      }
-      read(c);
-    });
-  }
-
-  // The other side has ended it. What was not read there would be sent once more by a real client; here the
-  // head's log tells which of the two it was.
-  void closed(const Shared& c) {
-    for (const std::string& id : c->open) record_.write(now(), "closed", id);
-    c->open.clear();
-    drop(c);
-  }
-
-  void drop(const Shared& c) {
-    c->gone = true;
-    c->up = false;
+    if (random_() % 2) connection->socket.set_option(asio::socket_base::linger(true, 0), ignored);
+    for (const std::string& id : connection->pending) record_.write(monotonic_now(), "left", id);
+    connection->pending.clear();
+    connection->socket.close(ignored);
+    remove(connection);
+  }
+
+  void read(const ConnectionPtr& connection) {
+    connection->socket.async_read_some(
+        asio::buffer(connection->buffer), [this, connection](std::error_code error, std::size_t size) {
+          if (connection->is_closed) return;
+          if (error) return handle_closed(connection);
+          connection->in.append(connection->buffer.data(), size);
+          while (auto text = tests::next_answer(connection->in)) {
+            if (connection->pending.empty()) {
+              record_.write(monotonic_now(), "unasked", connection->head);
+              continue;
+            }
+            std::ranges::replace(*text, ' ', '_');
+            record_.write(monotonic_now(), "answer", connection->pending.front(), *text);
+            connection->pending.pop_front();
+          }
+          read(connection);
+        });
+  }
+
+  // The head has closed the connection. A real client would resend requests that the head has not read; here
+  // the head's log tells whether it had read them.
+  void handle_closed(const ConnectionPtr& connection) {
+    for (const std::string& id : connection->pending) record_.write(monotonic_now(), "closed", id);
+    connection->pending.clear();
+    remove(connection);
+  }
+
+  void remove(const ConnectionPtr& connection) {
+    connection->is_closed = true;
+    connection->is_connected = false;
     std::error_code ignored;
-    c->socket.close(ignored);
-    std::erase(pool_[static_cast<std::size_t>(c->head)], c);
-  }
-
-  void misbehave() {
-    rude_.expires_after(std::chrono::microseconds(kRudeEvery));
-    rude_.async_wait([this](std::error_code) {
-      const Micros at = now();
-      if (at < plan_.start + plan_.length && plan_.active(Trouble::rude_clients, 0, at))
-        be_rude(static_cast<int>(chance_() % static_cast<unsigned>(plan_.heads)),
-                static_cast<int>(chance_() % 5));
-      misbehave();
+    connection->socket.close(ignored);
+    std::erase(connections_[static_cast<std::size_t>(connection->head)], connection);
+  }
+
+  void schedule_misbehavior() {
+    misbehavior_timer_.expires_after(std::chrono::microseconds(kMisbehaviorInterval));
+    misbehavior_timer_.async_wait([this](std::error_code) {
+      const Micros time = monotonic_now();
+      if (time < plan_.start + plan_.length && plan_.is_active(Fault::rude_clients, 0, time))
+        misbehave(static_cast<int>(random_() % static_cast<unsigned>(plan_.heads)),
+                  static_cast<int>(random_() % 5));
+      schedule_misbehavior();
     });
   }
 
-  void be_rude(int head, int kind) {
-    auto c = std::make_shared<Connection>(io_, head);
-    c->socket.async_connect(address(head), [this, c, head, kind](std::error_code error) {
+  void misbehave(int head, int kind) {
+    auto connection = std::make_shared<Connection>(io_, head);
+    connection->socket.async_connect(address(head), [this, connection, head, kind](std::error_code error) {
       if (error) return;
       switch (kind) {
         case 0:
-          return leave_many_behind(c);
+          return abandon_pipeline(connection);
         case 1:
-          return owed(c, head, kind, "*4\r\n$8\r\nBLK.RE");
+          return send_and_await_error(connection, head, kind, "*4\r\n$8\r\nBLK.RE");
         case 2:
-          return owed(c, head, kind, "\x02\xfe nonsense\r\n");
+          return send_and_await_error(connection, head, kind, "\x02\xfe nonsense\r\n");
         case 3:
-          return owed(c, head, kind, "");
+          return send_and_await_error(connection, head, kind, "");
         case 4:
-          return owed(c, head, kind, command(fresh_id(), 0, 500) + "*4\r\n$8\r\nBLK.READ\r\n$16\r\n7f");
+          return send_and_await_error(connection, head, kind,
+                                      build_command(next_id(), 0, 500) + "*4\r\n$8\r\nBLK.READ\r\n$16\r\n7f");
       }
     });
   }
 
-  void leave_many_behind(const Shared& c) {
-    c->up = true;
-    for (int i = 0; i < kLeftBehind && !c->gone; ++i) send(c, true);
-    if (!c->gone) leave_soon(c);
+  void abandon_pipeline(const ConnectionPtr& connection) {
+    connection->is_connected = true;
+    for (int i = 0; i < kAbandonedRequests && !connection->is_closed; ++i) send(connection, true);
+    if (!connection->is_closed) schedule_close(connection);
   }
 
-  // Such a client waits for its error line or the close.
-  void owed(const Shared& c, int head, int kind, const std::string& bytes) {
+  // Sends the bytes and waits for an error line or for the connection to close.
+  void send_and_await_error(const ConnectionPtr& connection, int head, int kind, const std::string& bytes) {
     std::error_code error;
-    asio::write(c->socket, asio::buffer(bytes), error);
-    const std::string name = std::to_string(number_) + "-" + std::to_string(++last_rude_);
-    record_.write(now(), "rude", head, kind, name);
-    await_error(c, name);
+    asio::write(connection->socket, asio::buffer(bytes), error);
+    const std::string name = std::to_string(number_) + "-" + std::to_string(++last_misbehavior_);
+    record_.write(monotonic_now(), "rude", head, kind, name);
+    await_error(connection, name);
   }
 
-  void await_error(const Shared& c, const std::string& name) {
-    c->socket.async_read_some(asio::buffer(c->part), [this, c, name](std::error_code error, std::size_t n) {
-      c->in.append(c->part.data(), n);
-      if (!error && c->in.find("-ERR ") == std::string::npos) return await_error(c, name);
-      record_.write(now(), "rude_done", name);
-    });
+  void await_error(const ConnectionPtr& connection, const std::string& name) {
+    connection->socket.async_read_some(asio::buffer(connection->buffer),
+                                       [this, connection, name](std::error_code error, std::size_t size) {
+                                         connection->in.append(connection->buffer.data(), size);
+                                         if (!error && connection->in.find("-ERR ") == std::string::npos)
+                                           return await_error(connection, name);
+                                         record_.write(monotonic_now(), "rude_done", name);
+                                       });
   }
 
   asio::io_context& io_;
   const Plan& plan_;
   const int number_;
   Recorder record_;
-  std::mt19937_64 chance_;
-  asio::steady_timer arrival_, rude_;
-  std::vector<std::vector<Shared>> pool_;
-  unsigned last_ = 0, last_rude_ = 0;
+  std::mt19937_64 random_;
+  asio::steady_timer arrival_timer_;
+  asio::steady_timer misbehavior_timer_;
+  std::vector<std::vector<ConnectionPtr>> connections_;
+  unsigned last_request_ = 0;
+  unsigned last_misbehavior_ = 0;
 };
 
 }  // namespace
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,9 +1,9 @@
-// yewmount-soak: real heads among nodes, discovery, clients and a proxy, each a process of its own on
-// loopback, under troubles that a seed draws and that overlap in time; then the rules are held against what
-// all of them recorded.
+// yewmount-soak: randomized fault injection. Runs real heads with simulated nodes, discovery, clients and a
+// proxy, each a separate process on loopback, under overlapping faults drawn from a seed. Then checks the
+// records of all processes against the rules.
 //
 //   yewmount-soak run --seed 7 --seconds 12 --program yewmountd [--faults LIBRARY] [--keep]
-//   yewmount-soak plan --seed 7         prints the troubles
+//   yewmount-soak plan --seed 7         prints the planned faults
 #include <fcntl.h>
 #include <signal.h>
 #include <spawn.h>
@@ -30,21 +30,27 @@
 namespace yewmount::soak {
 namespace {
 
-constexpr Micros kSettle = 4500 * kMillisecond;  // after the last arrival, until all have their answers
-constexpr Micros kPollEvery = 5 * kMillisecond;
-constexpr Micros kEndLimit = 6 * kSecond;
-constexpr Micros kDownFor = 200 * kMillisecond;  // a killed process
-constexpr std::size_t kViolationsShown = 12;
+constexpr Micros kSettleTime = 4500 * kMillisecond;  // after the last arrival, until all are answered
+constexpr Micros kPollInterval = 5 * kMillisecond;
+constexpr Micros kExitLimit = 6 * kSecond;
+constexpr Micros kRestartDelay = 200 * kMillisecond;  // until an exited process is restarted
+constexpr std::size_t kMaxViolationsShown = 12;
 
 struct Options {
-  std::string program, faults, self, folder;
-  bool keep = false;
+  std::string program;  // the head
+  std::string faults;   // library that injects system call failures; empty: none
+  std::string self;     // this program
+  std::string folder;   // of the run's records and logs
+  bool keep = false;    // keep the folder after the run
 };
 
-pid_t spawn(const std::vector<std::string>& words, const std::vector<std::string>& variables,
+// Starts a process with its standard output and error appended to `log`. Throws std::runtime_error where it
+// can't be started.
+pid_t spawn(const std::vector<std::string>& arguments, const std::vector<std::string>& variables,
             const std::string& log) {
-  std::vector<char*> argv, env;
-  for (const std::string& w : words) argv.push_back(const_cast<char*>(w.c_str()));
+  std::vector<char*> argv;
+  std::vector<char*> env;
+  for (const std::string& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
   for (const std::string& v : variables) env.push_back(const_cast<char*>(v.c_str()));
   argv.push_back(nullptr);
   env.push_back(nullptr);
@@ -54,13 +60,13 @@
   posix_spawn_file_actions_adddup2(&actions, 1, 2);
   posix_spawn_file_actions_addclosefrom_np(&actions, 3);
   pid_t pid = -1;
-  const int failed = posix_spawn(&pid, argv[0], &actions, nullptr, argv.data(), env.data());
+  const int error = posix_spawn(&pid, argv[0], &actions, nullptr, argv.data(), env.data());
   posix_spawn_file_actions_destroy(&actions);
-  if (failed != 0) throw std::runtime_error(words[0] + ": " + std::strerror(failed));
+  if (error != 0) throw std::runtime_error(arguments[0] + ": " + std::strerror(error));
   return pid;
 }
 
-// Does what the plan says to processes: starts, signals, restarts.
+// Starts all processes, injects the planned faults that concern processes, and checks the run.
 class Runner {
  public:
   Runner(Plan plan, Options options)
@@ -69,48 +75,49 @@
     nodes_.resize(static_cast<std::size_t>(plan_.nodes), -1);
   }
   ~Runner() {
-    for (pid_t pid : others_) end(pid);
-    for (pid_t pid : nodes_) end(pid);
-    for (Head& head : heads_) end(head.pid);
+    for (pid_t pid : simulator_processes_) kill_and_wait(pid);
+    for (pid_t pid : nodes_) kill_and_wait(pid);
+    for (Head& head : heads_) kill_and_wait(head.pid);
   }
 
   Verdict run() {
     set_clock_step(0);
-    plan_.start = now() + kSecond;
+    plan_.start = monotonic_now() + kSecond;
     plan_.wall_start_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
                               std::chrono::system_clock::now().time_since_epoch())
                               .count() +
                           1000;
     std::ofstream(options_.folder + "/plan.json") << to_json(plan_).dump(1);
     for (int i = 0; i < plan_.nodes; ++i) start_node(i);
-    others_.push_back(start_role("discovery", 0, "discovery"));
-    others_.push_back(start_role("proxy", 0, "proxy"));
+    simulator_processes_.push_back(start_role("discovery", 0, "discovery"));
+    simulator_processes_.push_back(start_role("proxy", 0, "proxy"));
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
     for (int i = 0; i < plan_.heads; ++i) start_head(i);
     for (int i = 0; i < plan_.clients; ++i)
-      others_.push_back(start_role("clients", i, "clients" + std::to_string(i)));
-    for (const Event& e : plan_.events) schedule(e);
-    const Micros ends = plan_.start + plan_.length + kSettle;
-    loop(ends, [] { return false; });
-    for (int i = 0; i < plan_.heads; ++i) terminate(i, false);
-    loop(now() + kEndLimit,
+      simulator_processes_.push_back(start_role("clients", i, "clients" + std::to_string(i)));
+    for (const FaultEvent& event : plan_.events) schedule_fault(event);
+    const Micros settled_at = plan_.start + plan_.length + kSettleTime;
+    loop(settled_at, [] { return false; });
+    for (int i = 0; i < plan_.heads; ++i) terminate_head(i, false);
+    loop(monotonic_now() + kExitLimit,
          [&] { return std::ranges::all_of(heads_, [](const Head& h) { return h.pid < 0; }); });
-    return judge(plan_, options_.folder);
+    return check_run(plan_, options_.folder);
   }
 
  private:
   struct Head {
     pid_t pid = -1;
-    int lives = 0;  // processes so far
-    bool ready = false, again = false;
-    int discovery = 0;  // which address its configuration names
+    int process_count = 0;  // processes started so far
+    bool is_ready = false;
+    bool should_restart = false;  // whether to restart it once it has exited
+    int discovery = 0;            // which address its configuration names
   };
   struct Action {
     Micros at;
-    std::function<void()> act;
+    std::function<void()> run;
   };
 
-  static void end(pid_t pid) {
+  static void kill_and_wait(pid_t pid) {
     if (pid <= 0) return;
     kill(pid, SIGCONT);
     kill(pid, SIGKILL);
@@ -131,21 +138,24 @@
 
   void write_config(int i) {
     const Head& head = heads_[static_cast<std::size_t>(i)];
-    const auto group = [&](const char* name, double goal, double limit, const char* repeat) {
-      return nlohmann::json{
-          {"name", name},          {"credit", 2.0},
-          {"objective-s", goal},   {"deadline-s", limit},
-          {"idempotency", repeat}, {"key-scope", "all"},
-          {"late-worth", 0.2},     {"memory-span-s", static_cast<double>(plan_.memory_span) / 1e6}};
+    const auto group = [&](const char* name, double latency_goal, double limit, const char* repeat) {
+      return nlohmann::json{{"name", name},
+                            {"credit", 2.0},
+                            {"objective-s", latency_goal},
+                            {"deadline-s", limit},
+                            {"idempotency", repeat},
+                            {"key-scope", "all"},
+                            {"late-worth", 0.2},
+                            {"memory-span-s", static_cast<double>(plan_.memory_span) / 1e6}};
     };
     const nlohmann::json config = {
         {"name", "n" + std::to_string(i)},
         {"listen", plan_.head(i) + ":" + std::to_string(Plan::kPort)},
         {"discovery", plan_.discovery(head.discovery) + ":" + std::to_string(Plan::kDiscoveryPort + i)},
         {"seed", std::to_string(1000000 + plan_.seed * 100 + static_cast<unsigned>(i) +
-                                static_cast<unsigned>(head.lives) * 7)},
+                                static_cast<unsigned>(head.process_count) * 7)},
         {"limits", {{"cores", 1.0}, {"memory_mb", 128}, {"sockets", 512}}},
-        {"known", list_of(plan_, 0)},
+        {"known", node_list(plan_, 0)},
         {"settings",
          {{"balancers", plan_.heads},
           {"rank", i},
@@ -197,64 +207,65 @@
                             ",eintr=0.02,short=0.02,accept=0.1,socket=0.03,connect=0.03,disk=0.05");
     }
     head.pid = spawn({options_.program, "relay", "--log-level", "debug"}, variables,
-                     file("head" + std::to_string(i) + "-" + std::to_string(head.lives) + ".log"));
-    ++head.lives;
-    head.ready = head.again = false;
-    record_.write(now(), "started", i);
-    await_ready(i, head.lives);
+                     file("head" + std::to_string(i) + "-" + std::to_string(head.process_count) + ".log"));
+    ++head.process_count;
+    head.is_ready = head.should_restart = false;
+    record_.write(monotonic_now(), "started", i);
+    await_ready(i, head.process_count);
   }
 
-  // Ready once its log says that it serves: the listener is up from there.
-  void await_ready(int i, int life) {
-    later(now() + 20 * kMillisecond, [this, i, life] {
+  // A head is ready once its log has the event "serving", from which on its listener is open.
+  void await_ready(int i, int process_number) {
+    schedule_at(monotonic_now() + 20 * kMillisecond, [this, i, process_number] {
       Head& head = heads_[static_cast<std::size_t>(i)];
-      if (head.pid < 0 || head.lives != life || head.ready) return;
-      std::ifstream log(file("head" + std::to_string(i) + "-" + std::to_string(life - 1) + ".log"));
+      if (head.pid < 0 || head.process_count != process_number || head.is_ready) return;
+      std::ifstream log(file("head" + std::to_string(i) + "-" + std::to_string(process_number - 1) + ".log"));
       for (std::string line; std::getline(log, line);)
         if (line.find("\"event\":\"serving\"") != std::string::npos) {
-          head.ready = true;
-          record_.write(now(), "ready", i);
+          head.is_ready = true;
+          record_.write(monotonic_now(), "ready", i);
           return;
         }
-      await_ready(i, life);
+      await_ready(i, process_number);
     });
   }
 
-  void terminate(int i, bool again) {
+  void terminate_head(int i, bool should_restart) {
     Head& head = heads_[static_cast<std::size_t>(i)];
     if (head.pid < 0) return;
-    head.again = again;
-    record_.write(now(), "term", i);
+    head.should_restart = should_restart;
+    record_.write(monotonic_now(), "term", i);
     kill(head.pid, SIGTERM);
   }
 
   void kill_head(int i) {
     Head& head = heads_[static_cast<std::size_t>(i)];
     if (head.pid < 0) return;
-    head.again = true;
-    record_.write(now(), "kill", i);
+    head.should_restart = true;
+    record_.write(monotonic_now(), "kill", i);
     kill(head.pid, SIGKILL);
   }
 
-  // A file that is none, then a good one that names the other address, then the same once more.
-  void reload(int i) {
+  // Reloads a malformed configuration, then a valid one with the other discovery address, then the same
+  // again.
+  void reload_head(int i) {
     Head& head = heads_[static_cast<std::size_t>(i)];
-    if (head.pid < 0 || !head.ready) return;
+    if (head.pid < 0 || !head.is_ready) return;
     std::ofstream(file("head" + std::to_string(i) + ".json")) << "{\"name\":\"n";
     kill(head.pid, SIGHUP);
     head.discovery = 1 - head.discovery;
     for (const Micros wait : {40 * kMillisecond, 90 * kMillisecond})
-      later(now() + wait, [this, i] {
+      schedule_at(monotonic_now() + wait, [this, i] {
         Head& head = heads_[static_cast<std::size_t>(i)];
         write_config(i);
-        if (head.pid > 0 && head.ready) kill(head.pid, SIGHUP);
+        if (head.pid > 0 && head.is_ready) kill(head.pid, SIGHUP);
       });
   }
 
   void restart_node(int i) {
     pid_t& pid = nodes_[static_cast<std::size_t>(i)];
-    end(std::exchange(pid, -1));
-    later(now() + kDownFor, [this, i] { start_node(i); });
+    kill_and_wait(std::exchange(pid, -1));
+    schedule_at(monotonic_now() + kRestartDelay, [this, i] { start_node(i); });
   }
 
   void set_clock_step(std::int64_t step) {
@@ -264,56 +275,58 @@
     ::close(fd);
   }
 
-  pid_t discovery() const { return others_.at(0); }
+  pid_t discovery() const { return simulator_processes_.at(0); }
 
-  void later(Micros at, std::function<void()> act) { actions_.push_back({at, std::move(act)}); }
+  void schedule_at(Micros at, std::function<void()> action) { actions_.push_back({at, std::move(action)}); }
 
-  void stop_and_go(const Event& e, std::function<pid_t()> who) {
-    later(plan_.start + e.from, [who] {
-      if (const pid_t pid = who(); pid > 0) kill(pid, SIGSTOP);
+  void schedule_pause(const FaultEvent& event, std::function<pid_t()> find_pid) {
+    schedule_at(plan_.start + event.from, [find_pid] {
+      if (const pid_t pid = find_pid(); pid > 0) kill(pid, SIGSTOP);
     });
-    later(plan_.start + e.until, [who] {
-      if (const pid_t pid = who(); pid > 0) kill(pid, SIGCONT);
+    schedule_at(plan_.start + event.until, [find_pid] {
+      if (const pid_t pid = find_pid(); pid > 0) kill(pid, SIGCONT);
     });
   }
 
-  void schedule(const Event& e) {
-    const auto target = static_cast<std::size_t>(e.target);
-    const auto act = [&](std::function<void()> what) { later(plan_.start + e.from, std::move(what)); };
-    switch (e.trouble) {
-      case Trouble::terminate_head:
-        return act([this, i = e.target] { terminate(i, true); });
-      case Trouble::kill_head:
-        return act([this, i = e.target] { kill_head(i); });
-      case Trouble::reload_head:
-        return act([this, i = e.target] { reload(i); });
-      case Trouble::restart_node:
-        return act([this, i = e.target] { restart_node(i); });
-      case Trouble::step_clock:
-        return act([this, step = e.amount] { set_clock_step(step); });
-      case Trouble::stop_head:
-        return stop_and_go(e, [this, target] { return heads_[target].pid; });
-      case Trouble::hang_node:
-        return stop_and_go(e, [this, target] { return nodes_[target]; });
-      case Trouble::silence_discovery:
-        return stop_and_go(e, [this] { return discovery(); });
+  void schedule_fault(const FaultEvent& event) {
+    const auto target = static_cast<std::size_t>(event.target);
+    const auto inject = [&](std::function<void()> what) {
+      schedule_at(plan_.start + event.from, std::move(what));
+    };
+    switch (event.fault) {
+      case Fault::terminate_head:
+        return inject([this, i = event.target] { terminate_head(i, true); });
+      case Fault::kill_head:
+        return inject([this, i = event.target] { kill_head(i); });
+      case Fault::reload_head:
+        return inject([this, i = event.target] { reload_head(i); });
+      case Fault::restart_node:
+        return inject([this, i = event.target] { restart_node(i); });
+      case Fault::step_clock:
+        return inject([this, step = event.amount] { set_clock_step(step); });
+      case Fault::stop_head:
+        return schedule_pause(event, [this, target] { return heads_[target].pid; });
+      case Fault::hang_node:
+        return schedule_pause(event, [this, target] { return nodes_[target]; });
+      case Fault::silence_discovery:
+        return schedule_pause(event, [this] { return discovery(); });
       default:
-        return;  // the proxy, the nodes and the clients do these themselves
+        return;  // injected by the proxy, the nodes and the clients
     }
   }
 
   template <class Done>
   void loop(Micros until, Done done) {
-    while (now() < until && !done()) {
+    while (monotonic_now() < until && !done()) {
       reap();
       std::vector<Action> due;
       std::erase_if(actions_, [&](Action& a) {
-        if (a.at > now()) return false;
+        if (a.at > monotonic_now()) return false;
         due.push_back(std::move(a));
         return true;
       });
-      for (Action& a : due) a.act();
-      std::this_thread::sleep_for(std::chrono::microseconds(kPollEvery));
+      for (Action& a : due) a.run();
+      std::this_thread::sleep_for(std::chrono::microseconds(kPollInterval));
     }
   }
 
@@ -323,8 +336,9 @@
       int status = 0;
       if (head.pid < 0 || waitpid(head.pid, &status, WNOHANG) != head.pid) continue;
       head.pid = -1;
-      record_.write(now(), "exit", i, WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status));
-      if (head.again) later(now() + kDownFor, [this, i] { start_head(i); });
+      record_.write(monotonic_now(), "exit", i,
+                    WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status));
+      if (head.should_restart) schedule_at(monotonic_now() + kRestartDelay, [this, i] { start_head(i); });
     }
   }
 
@@ -332,12 +346,13 @@
   const Options options_;
   Recorder record_;
   std::vector<Head> heads_;
-  std::vector<pid_t> nodes_, others_;  // others_: discovery, proxy, clients
+  std::vector<pid_t> nodes_;
+  std::vector<pid_t> simulator_processes_;  // discovery, proxy, clients
   std::vector<Action> actions_;
 };
 
-// Addresses of 127.0.0.0/8 that another run on this machine is unlikely to use.
-std::string own_addresses() {
+// A prefix within 127.0.0.0/8 that another run on this machine is unlikely to use.
+std::string address_prefix() {
   const auto number = static_cast<unsigned>(getpid());
   return "127." + std::to_string(64 + number % 64) + "." + std::to_string(number / 64 % 250) + ".";
 }
@@ -346,18 +361,18 @@
   char name[] = "/tmp/yewmount-soak-XXXXXX";
   if (!mkdtemp(name)) throw std::runtime_error("can't make a folder in /tmp");
   options.folder = name;
-  Plan plan = draw(seed, static_cast<Micros>(seconds * 1e6));
-  plan.base = own_addresses();
-  const std::size_t troubles = plan.events.size();
+  Plan plan = draw_plan(seed, static_cast<Micros>(seconds * 1e6));
+  plan.base = address_prefix();
+  const std::size_t fault_count = plan.events.size();
   Verdict verdict = Runner(std::move(plan), options).run();
   std::cout << "soak seed " << seed << ": " << (verdict.violations.empty() ? "passed" : "FAILED") << ", "
-            << troubles << " troubles";
+            << fault_count << " troubles";
   for (const auto& [what, count] : verdict.counts) std::cout << ", " << what << " " << count;
   std::cout << "\n";
-  for (std::size_t i = 0; i < std::min(verdict.violations.size(), kViolationsShown); ++i)
+  for (std::size_t i = 0; i < std::min(verdict.violations.size(), kMaxViolationsShown); ++i)
     std::cout << "  " << verdict.violations[i] << "\n";
-  if (verdict.violations.size() > kViolationsShown)
-    std::cout << "  and " << verdict.violations.size() - kViolationsShown << " more\n";
+  if (verdict.violations.size() > kMaxViolationsShown)
+    std::cout << "  and " << verdict.violations.size() - kMaxViolationsShown << " more\n";
   if (options.keep)
     std::cout << "  records in " << options.folder << "\n";
   else
@@ -367,7 +382,7 @@
 
 int role(const std::string& role, int number, const std::string& folder, const std::string& records) {
   std::signal(SIGPIPE, SIG_IGN);
-  const Plan plan = plan_from(nlohmann::json::parse(std::ifstream(folder + "/plan.json")));
+  const Plan plan = plan_from_json(nlohmann::json::parse(std::ifstream(folder + "/plan.json")));
   if (role == "node") run_node(plan, number, records);
   if (role == "discovery") run_discovery(plan, records);
   if (role == "clients") run_clients(plan, number, records);
@@ -376,12 +391,12 @@
 }
 
 void print_plan(std::uint64_t seed, double seconds) {
-  const Plan plan = draw(seed, static_cast<Micros>(seconds * 1e6));
+  const Plan plan = draw_plan(seed, static_cast<Micros>(seconds * 1e6));
   std::cout << plan.heads << " heads, " << plan.nodes << " nodes\n";
-  for (const Event& e : plan.events)
-    std::cout << e.from / kMillisecond << " to " << e.until / kMillisecond << " ms: " << name(e.trouble)
-              << " " << e.target << (e.amount ? " by " + std::to_string(e.amount / kSecond) + " s" : "")
-              << "\n";
+  for (const FaultEvent& event : plan.events)
+    std::cout << event.from / kMillisecond << " to " << event.until / kMillisecond
+              << " ms: " << name(event.fault) << " " << event.target
+              << (event.amount ? " by " + std::to_string(event.amount / kSecond) + " s" : "") << "\n";
 }
 
 }  // namespace
@@ -389,31 +404,31 @@
 
 int main(int argc, char** argv) {
   using namespace yewmount::soak;
-  CLI::App app{"randomized faults over real processes, with the rules as the judge"};
+  CLI::App app{"injects random faults into real processes and checks the rules"};
   app.require_subcommand(1);
   std::uint64_t seed = 1;
   double seconds = 12;
   Options options;
   options.self = std::filesystem::canonical("/proc/self/exe");
-  CLI::App* whole = app.add_subcommand("run", "one run; exit 1 where a rule was broken");
-  whole->add_option("--program", options.program, "the head")->required()->check(CLI::ExistingFile);
-  whole->add_option("--faults", options.faults, "library that makes system calls of some heads fail");
-  whole->add_flag("--keep", options.keep, "keep records and logs");
-  CLI::App* plan = app.add_subcommand("plan", "what a seed draws");
-  for (CLI::App* sub : {whole, plan}) {
-    sub->add_option("--seed", seed);
-    sub->add_option("--seconds", seconds);
+  CLI::App* run_command = app.add_subcommand("run", "one run; exit code 1 if a rule was broken");
+  run_command->add_option("--program", options.program, "the head")->required()->check(CLI::ExistingFile);
+  run_command->add_option("--faults", options.faults, "library that makes system calls of some heads fail");
+  run_command->add_flag("--keep", options.keep, "keep records and logs");
+  CLI::App* plan = app.add_subcommand("plan", "prints the faults that a seed draws");
+  for (CLI::App* command : {run_command, plan}) {
+    command->add_option("--seed", seed);
+    command->add_option("--seconds", seconds);
   }
   std::string kind, records;
   int number = 0;
-  CLI::App* part = app.add_subcommand("role", "one party of a run; started by it");
-  part->add_option("kind", kind)->required();
-  part->add_option("--number", number);
-  part->add_option("--folder", options.folder);
-  part->add_option("--records", records);
+  CLI::App* role_command = app.add_subcommand("role", "one process of a run; started by the run command");
+  role_command->add_option("kind", kind)->required();
+  role_command->add_option("--number", number);
+  role_command->add_option("--folder", options.folder);
+  role_command->add_option("--records", records);
   CLI11_PARSE(app, argc, argv);
   try {
-    if (part->parsed()) return role(kind, number, options.folder, records);
+    if (role_command->parsed()) return role(kind, number, options.folder, records);
     if (plan->parsed()) return print_plan(seed, seconds), 0;
     return run(seed, seconds, options);
   } catch (const std::exception& e) {
--- a/tests/soak/node.cpp
+++ b/tests/soak/node.cpp
@@ -1,5 +1,5 @@
-// A node: reads commands, works a little on each, answers; in its spoilt times it answers in ways that it
-// should not.
+// A storage node: reads commands, answers each after a random service time, and sends invalid answers while
+// the spoil_answers fault is active.
 #include <asio.hpp>
 #include <memory>
 #include <random>
@@ -13,7 +13,7 @@
 
 using asio::ip::tcp;
 
-constexpr double kMeanWork = 8.0;  // milliseconds
+constexpr double kMeanServiceTimeMs = 8.0;
 
 class Node {
  public:
@@ -21,7 +21,7 @@
       : plan_(plan),
         number_(number),
         record_(records),
-        chance_(plan.seed * 1009 + static_cast<unsigned>(number)),
+        random_(plan.seed * 1009 + static_cast<unsigned>(number)),
         acceptor_(io, {asio::ip::make_address(plan.node(number)), Plan::kPort}) {
     accept();
   }
@@ -31,8 +31,8 @@
     explicit Connection(tcp::socket s) : socket(std::move(s)) {}
     tcp::socket socket;
     std::string in;
-    std::array<char, 65536> part;
-    bool open = true;
+    std::array<char, 65536> buffer;
+    bool is_open = true;
     void send(const std::string& bytes) {
       std::error_code error;
       asio::write(socket, asio::buffer(bytes), error);
@@ -41,7 +41,7 @@
       std::error_code ignored;
       socket.set_option(asio::socket_base::linger(true, 0), ignored);
       socket.close(ignored);
-      open = false;
+      is_open = false;
     }
   };
 
@@ -55,75 +55,78 @@
     });
   }
 
-  void read(std::shared_ptr<Connection> c) {
-    c->socket.async_read_some(asio::buffer(c->part), [this, c](std::error_code error, std::size_t n) {
-      if (error || !c->open) return;
-      c->in.append(c->part.data(), n);
-      while (const auto words = tests::next_words(c->in)) take(c, *words);
-      read(c);
-    });
+  void read(std::shared_ptr<Connection> connection) {
+    connection->socket.async_read_some(asio::buffer(connection->buffer),
+                                       [this, connection](std::error_code error, std::size_t size) {
+                                         if (error || !connection->is_open) return;
+                                         connection->in.append(connection->buffer.data(), size);
+                                         while (const auto words = tests::next_words(connection->in))
+                                           handle_command(connection, *words);
+                                         read(connection);
+                                       });
   }
 
-  void take(const std::shared_ptr<Connection>& c, const tests::Words& words) {
+  void handle_command(const std::shared_ptr<Connection>& connection, const tests::Words& words) {
     const std::string& id = words.at(2);
-    const std::size_t told = words.at(3).find(",d=");
-    record_.write(now(), "run", id, number_, std::stol(words[3].substr(told + 3)));
-    const double work = std::exponential_distribution<double>(1 / kMeanWork)(chance_);
+    const std::size_t limit_at = words.at(3).find(",d=");
+    record_.write(monotonic_now(), "run", id, number_, std::stol(words[3].substr(limit_at + 3)));
+    const double service_time_ms = std::exponential_distribution<double>(1 / kMeanServiceTimeMs)(random_);
     auto timer = std::make_shared<asio::steady_timer>(
-        acceptor_.get_executor(), std::chrono::microseconds(500 + static_cast<long>(work * 1000)));
-    timer->async_wait([this, c, id, timer](std::error_code) {
-      if (c->open) answer(*c, id);
+        acceptor_.get_executor(), std::chrono::microseconds(500 + static_cast<long>(service_time_ms * 1000)));
+    timer->async_wait([this, connection, id, timer](std::error_code) {
+      if (connection->is_open) answer(*connection, id);
     });
   }
 
-  void answer(Connection& c, const std::string& id) {
+  void answer(Connection& connection, const std::string& id) {
     const std::string value = "value-" + id;
-    const std::string good = "*3\r\n$" + std::to_string(value.size()) + "\r\n" + value +
-                             "\r\n$13\r\nused=3,cost=0\r\n$23\r\ninflight=1,latency_ms=5\r\n";
-    const bool spoils = plan_.active(Trouble::spoil_answers, number_, now()) && chance_() % 3 == 0;
-    switch (spoils ? chance_() % 8 : 99) {
+    const std::string valid = "*3\r\n$" + std::to_string(value.size()) + "\r\n" + value +
+                              "\r\n$13\r\nused=3,cost=0\r\n$23\r\ninflight=1,latency_ms=5\r\n";
+    const bool is_spoiled =
+        plan_.is_active(Fault::spoil_answers, number_, monotonic_now()) && random_() % 3 == 0;
+    switch (is_spoiled ? random_() % 8 : 99) {
       case 0:
-        return c.send("-ERR failed\r\n");
+        return connection.send("-ERR failed\r\n");
       case 1:
-        record_.write(now(), "turned", id, number_);
-        return c.send("-BUSY\r\n");
+        record_.write(monotonic_now(), "turned", id, number_);
+        return connection.send("-BUSY\r\n");
       case 2:
-        return c.send("\x01\xff noise");
+        return connection.send("\x01\xff noise");
       case 3:
-        c.send(good.substr(0, good.size() / 2));
-        return c.reset();
+        connection.send(valid.substr(0, valid.size() / 2));
+        return connection.reset();
       case 4:
-        return c.send("*3\r\n$3000000000\r\nvvv");
+        return connection.send("*3\r\n$3000000000\r\nvvv");
       case 5:
-        return c.reset();
-      case 6:  // a second copy, some milliseconds late
-        record_.write(now(), "made", id, number_);
-        c.send(good);
-        late_copy(c.shared_from_this(), good);
+        return connection.reset();
+      case 6:  // a duplicate, some milliseconds later
+        record_.write(monotonic_now(), "made", id, number_);
+        connection.send(valid);
+        send_duplicate(connection.shared_from_this(), valid);
         return;
       case 7:
-        record_.write(now(), "made", id, number_);
-        c.send(good);
+        record_.write(monotonic_now(), "made", id, number_);
+        connection.send(valid);
         std::error_code ignored;
-        c.socket.shutdown(tcp::socket::shutdown_send, ignored);
+        connection.socket.shutdown(tcp::socket::shutdown_send, ignored);
         return;
     }
-    record_.write(now(), "made", id, number_);
-    c.send(good);
+    record_.write(monotonic_now(), "made", id, number_);
+    connection.send(valid);
   }
 
-  void late_copy(std::shared_ptr<Connection> c, const std::string& bytes) {
+  void send_duplicate(std::shared_ptr<Connection> connection, const std::string& bytes) {
     auto timer = std::make_shared<asio::steady_timer>(acceptor_.get_executor(),
-                                                      std::chrono::milliseconds(chance_() % 6));
-    timer->async_wait([c, bytes, timer](std::error_code) {
-      if (c->open) c->send(bytes);
+                                                      std::chrono::milliseconds(random_() % 6));
+    timer->async_wait([connection, bytes, timer](std::error_code) {
+      if (connection->is_open) connection->send(bytes);
     });
   }
 
   const Plan& plan_;
   const int number_;
   Recorder record_;
-  std::mt19937_64 chance_;
+  std::mt19937_64 random_;
   tcp::acceptor acceptor_;
 };
 
--- a/tests/soak/oracle.cpp
+++ b/tests/soak/oracle.cpp
@@ -13,367 +13,416 @@
 namespace yewmount::soak {
 namespace {
 
-// What the terms allow, and what the recording itself may be late by on a busy machine.
+// Tolerances: what the rules allow, and how late a record may be written on a busy machine.
 constexpr Micros kRecordSlack = 80 * kMillisecond;
 constexpr Micros kAnswerSlack = 500 * kMillisecond;
-constexpr Micros kToldSlack = 150 * kMillisecond;
-constexpr Micros kGoneSlack = 100 * kMillisecond;
-constexpr Micros kDrainGrace = kSecond, kHoldUp = 150 * kMillisecond;
-constexpr Micros kToldAtLatest = 6 * kSecond;
-constexpr Micros kRudeOwed = 3 * kSecond;
-constexpr Micros kReadyWithin = 10 * kSecond;
-constexpr Micros kEndsWithin = 3700 * kMillisecond;  // after SIGTERM
-constexpr double kLeastServed = 0.3;
-// As main.cpp puts them into the settings.
-constexpr double kColdBears = 60, kUsualUnits = 2, kColdFrom = 0.2;
-constexpr Micros kWarmWithin = 3 * kSecond, kOverloadFor = kSecond;
-
+constexpr Micros kTimeLimitSlack = 150 * kMillisecond;  // of the time limit that a command states to its node
+constexpr Micros kClientGoneSlack =
+    100 * kMillisecond;  // from a client's close until nothing more is sent for it
+constexpr Micros kDrainGrace = kSecond;
+constexpr Micros kDrainQueueSlack = 150 * kMillisecond;
+constexpr Micros kListRefreshLimit = 6 * kSecond;
+constexpr Micros kErrorAnswerLimit = 3 * kSecond;  // for a misbehaving client
+constexpr Micros kReadyLimit = 10 * kSecond;
+constexpr Micros kShutdownLimit = 3700 * kMillisecond;  // after SIGTERM
+constexpr double kMinServedShare = 0.3;
+// The values that main.cpp writes to the settings.
+constexpr double kColdUnits = 60;
+constexpr double kUsualUnits = 2;
+constexpr double kColdShare = 0.2;
+constexpr Micros kWarmUp = 3 * kSecond;
+constexpr Micros kOverloadWindow = kSecond;
+
+// A command that a node has read.
 struct Run {
   Micros at;
   int node;
-  Micros told;
-  bool turned_away = false;  // told so at once: it has had no effect
+  Micros time_limit;
+  bool was_rejected = false;  // the node answered that it has had no effect
 };
 
+// A client's request and all that was recorded about it.
 struct Request {
-  Micros asked = 0, wait = 0;
+  Micros sent_at = 0;
+  Micros timeout = 0;
   int head = 0;
-  std::string kind, ahead;
+  std::string group;  // I/O group
+  std::string ahead;  // request that it is pipelined behind
   std::vector<std::pair<Micros, std::string>> answers;
-  std::optional<Micros> left, closed;
+  std::optional<Micros> client_closed_at;  // when the client closed the connection
+  std::optional<Micros> head_closed_at;    // when the head closed the connection
   std::vector<Run> runs;
-  std::vector<Micros> made;
+  std::vector<Micros> values_sent_at;  // when a node had sent the value
 };
 
 // One process of a head.
-struct Life {
-  Micros started = 0;
-  std::optional<Micros> ready, term, kill, exit;
-  int code = 0;
+struct Process {
+  Micros started_at = 0;
+  std::optional<Micros> ready_at;
+  std::optional<Micros> terminated_at;
+  std::optional<Micros> killed_at;
+  std::optional<Micros> exited_at;
+  int exit_code = 0;
 };
 
-class Judge {
+// Collects the records of a run and checks them.
+class RunChecker {
  public:
-  Judge(const Plan& plan, const std::string& folder) : plan_(plan), folder_(folder) {
-    lives_.resize(static_cast<std::size_t>(plan.heads));
-    told_.resize(static_cast<std::size_t>(plan.heads));
+  RunChecker(const Plan& plan, const std::string& folder) : plan_(plan), folder_(folder) {
+    processes_.resize(static_cast<std::size_t>(plan.heads));
+    list_sends_.resize(static_cast<std::size_t>(plan.heads));
   }
 
-  Verdict verdict() {
-    read();
+  Verdict run() {
+    read_folder();
     for (const auto& [id, request] : requests_) {
-      answered(id, request);
-      ran(id, request);
+      check_answer(id, request);
+      check_runs(id, request);
     }
-    drains();
-    cold_nodes();
-    rude();
-    processes();
-    const double served = static_cast<double>(counts("served"));
-    if (served < kLeastServed * static_cast<double>(counts("asked")))
-      say("served too little of what was asked");
+    check_drains();
+    check_cold_nodes();
+    check_misbehaving_clients();
+    check_processes();
+    const double served = static_cast<double>(count("served"));
+    if (served < kMinServedShare * static_cast<double>(count("asked")))
+      report("served too few of the requests");
     return verdict_;
   }
 
  private:
-  long counts(const char* name) { return verdict_.counts[name]; }
+  long count(const char* name) { return verdict_.counts[name]; }
 
-  void say(const std::string& what) { verdict_.violations.push_back(what); }
+  void report(const std::string& what) { verdict_.violations.push_back(what); }
 
-  std::string at(Micros moment) const {
-    return std::to_string((moment - plan_.start) / kMillisecond) + " ms";
+  std::string format_time(Micros time) const {
+    return std::to_string((time - plan_.start) / kMillisecond) + " ms";
   }
 
-  void read() {
-    std::vector<Line> lines;
+  void read_folder() {
+    std::vector<RecordLine> lines;
     for (const auto& file : std::filesystem::directory_iterator(folder_)) {
       const std::string path = file.path().string();
       if (path.ends_with(".rec"))
-        for (Line& line : read_lines(path)) lines.push_back(std::move(line));
+        for (RecordLine& line : read_records(path)) lines.push_back(std::move(line));
       if (path.ends_with(".log")) read_log(path);
     }
-    std::ranges::stable_sort(lines, {}, &Line::at);
-    for (const Line& line : lines) take(line);
+    std::ranges::stable_sort(lines, {}, &RecordLine::at);
+    for (const RecordLine& line : lines) apply_record(line);
   }
 
-  void take(const Line& l) {
-    const auto& f = l.fields;
-    if (l.event == "ask") {
-      Request& r = requests_[f[0]];
-      r.asked = l.at, r.head = std::stoi(f[1]), r.kind = f[2], r.wait = std::stol(f[3]) * kMillisecond;
-      r.ahead = f[4];
-    } else if (l.event == "answer") {
-      requests_[f[0]].answers.emplace_back(l.at, f[1]);
-    } else if (l.event == "left") {
-      requests_[f[0]].left = l.at;
-    } else if (l.event == "closed") {
-      requests_[f[0]].closed = l.at;
-    } else if (l.event == "run") {
-      requests_[f[0]].runs.push_back({l.at, std::stoi(f[1]), std::stol(f[2]) * kMillisecond});
+  void apply_record(const RecordLine& line) {
+    const auto& fields = line.fields;
+    if (line.event == "ask") {
+      Request& request = requests_[fields[0]];
+      request.sent_at = line.at;
+      request.head = std::stoi(fields[1]);
+      request.group = fields[2];
+      request.timeout = std::stol(fields[3]) * kMillisecond;
+      request.ahead = fields[4];
+    } else if (line.event == "answer") {
+      requests_[fields[0]].answers.emplace_back(line.at, fields[1]);
+    } else if (line.event == "left") {
+      requests_[fields[0]].client_closed_at = line.at;
+    } else if (line.event == "closed") {
+      requests_[fields[0]].head_closed_at = line.at;
+    } else if (line.event == "run") {
+      requests_[fields[0]].runs.push_back(
+          {line.at, std::stoi(fields[1]), std::stol(fields[2]) * kMillisecond});
       ++verdict_.counts["runs"];
-    } else if (l.event == "turned") {
-      turned_away(requests_[f[0]], std::stoi(f[1]));
-    } else if (l.event == "made") {
-      requests_[f[0]].made.push_back(l.at);
-    } else if (l.event == "unasked") {
-      say("head " + f[0] + " answered what nobody asked, at " + at(l.at));
-    } else if (l.event == "told") {
-      told_[static_cast<std::size_t>(std::stoi(f[0]))].emplace_back(l.at, std::stol(f[1]));
-    } else if (l.event == "rude") {
-      rude_[f[2]] = l, rude_done_.try_emplace(f[2]);
-    } else if (l.event == "rude_done") {
-      rude_done_[f[0]] = l.at;
+    } else if (line.event == "turned") {
+      mark_rejected(requests_[fields[0]], std::stoi(fields[1]));
+    } else if (line.event == "made") {
+      requests_[fields[0]].values_sent_at.push_back(line.at);
+    } else if (line.event == "unasked") {
+      report("head " + fields[0] + " sent an answer with no request pending, at " + format_time(line.at));
+    } else if (line.event == "told") {
+      list_sends_[static_cast<std::size_t>(std::stoi(fields[0]))].emplace_back(line.at, std::stol(fields[1]));
+    } else if (line.event == "rude") {
+      misbehaviors_[fields[2]] = line;
+      misbehavior_ended_.try_emplace(fields[2]);
+    } else if (line.event == "rude_done") {
+      misbehavior_ended_[fields[0]] = line.at;
     } else {
-      take_life(l);
+      apply_process_event(line);
     }
   }
 
-  static void turned_away(Request& r, int node) {
-    for (Run& run : r.runs)
-      if (run.node == node && !run.turned_away) {
-        run.turned_away = true;
+  static void mark_rejected(Request& request, int node) {
+    for (Run& run : request.runs)
+      if (run.node == node && !run.was_rejected) {
+        run.was_rejected = true;
         return;
       }
   }
 
-  // Those that may have had an effect.
-  static std::vector<Run> effects(const Request& r) {
+  // The runs that may have had an effect.
+  static std::vector<Run> effects(const Request& request) {
     std::vector<Run> all;
-    std::ranges::copy_if(r.runs, std::back_inserter(all), [](const Run& run) { return !run.turned_away; });
+    std::ranges::copy_if(request.runs, std::back_inserter(all),
+                         [](const Run& run) { return !run.was_rejected; });
     return all;
   }
 
-  void take_life(const Line& l) {
-    if (l.event == "change") return;
-    auto& lives = lives_[static_cast<std::size_t>(std::stoi(l.fields[0]))];
-    if (l.event == "started")
-      lives.push_back({.started = l.at, .ready = {}, .term = {}, .kill = {}, .exit = {}});
-    Life& life = lives.back();
-    if (l.event == "ready") life.ready = l.at;
-    if (l.event == "term") life.term = l.at;
-    if (l.event == "kill") life.kill = l.at;
-    if (l.event == "exit") life.exit = l.at, life.code = std::stoi(l.fields[1]);
+  void apply_process_event(const RecordLine& line) {
+    if (line.event == "change") return;
+    auto& processes = processes_[static_cast<std::size_t>(std::stoi(line.fields[0]))];
+    if (line.event == "started")
+      processes.push_back(
+          {.started_at = line.at, .ready_at = {}, .terminated_at = {}, .killed_at = {}, .exited_at = {}});
+    Process& process = processes.back();
+    if (line.event == "ready") process.ready_at = line.at;
+    if (line.event == "term") process.terminated_at = line.at;
+    if (line.event == "kill") process.killed_at = line.at;
+    if (line.event == "exit") {
+      process.exited_at = line.at;
+      process.exit_code = std::stoi(line.fields[1]);
+    }
   }
 
-  // The head's own words: which requests it has read, and its counts of violations.
+  // Reads from the head's log which requests it has read, and the violations that it found itself.
   void read_log(const std::string& path) {
     std::ifstream in(path);
     for (std::string text; std::getline(in, text);) {
       if (text.find("\"event\":\"taken\"") != std::string::npos) {
         const std::size_t from = text.find("\"request\":\"") + 11;
-        taken_.insert(text.substr(from, 16));
+        read_requests_.insert(text.substr(from, 16));
       }
       if (text.find("\"event\":\"violation") != std::string::npos &&
           text.find("violation: late") == std::string::npos)
-        say("self-check of a head: " + text.substr(0, 300));
+        report("self-check of a head: " + text.substr(0, 300));
     }
   }
 
-  const Life* life_at(int head, Micros moment) const {
-    const Life* found = nullptr;
-    for (const Life& life : lives_[static_cast<std::size_t>(head)])
-      if (life.started <= moment) found = &life;
+  const Process* process_at(int head, Micros time) const {
+    const Process* found = nullptr;
+    for (const Process& process : processes_[static_cast<std::size_t>(head)])
+      if (process.started_at <= time) found = &process;
     return found;
   }
 
-  bool killed_between(int head, Micros from, Micros until) const {
-    return std::ranges::any_of(lives_[static_cast<std::size_t>(head)], [&](const Life& life) {
-      return life.kill && *life.kill >= from && *life.kill <= until;
+  bool was_killed_between(int head, Micros from, Micros until) const {
+    return std::ranges::any_of(processes_[static_cast<std::size_t>(head)], [&](const Process& process) {
+      return process.killed_at && *process.killed_at >= from && *process.killed_at <= until;
     });
   }
 
-  // How long the head was stopped within a time: it can't be blamed for that.
-  Micros stopped(int head, Micros from, Micros until) const {
+  // How long the head was paused within the interval; its deadlines are extended by this.
+  Micros paused_time(int head, Micros from, Micros until) const {
     Micros all = 0;
-    for (const Event& e : plan_.events)
-      if (e.trouble == Trouble::stop_head && e.target == head)
+    for (const FaultEvent& event : plan_.events)
+      if (event.fault == Fault::stop_head && event.target == head)
         all += std::max<Micros>(
-            0, std::min(until - plan_.start, e.until) - std::max(from - plan_.start, e.from));
+            0, std::min(until - plan_.start, event.until) - std::max(from - plan_.start, event.from));
     return all;
   }
 
-  // A hanging node reads late: its record says nothing of when the head sent.
-  bool reads_late(const Run& run) const {
+  // A paused node reads late, so that its record does not show when the head sent the command.
+  bool may_be_read_late(const Run& run) const {
     const Micros around = 200 * kMillisecond;
-    return plan_.touched(Trouble::hang_node, run.node, run.at - around, run.at + around);
+    return plan_.was_active_within(Fault::hang_node, run.node, run.at - around, run.at + around);
   }
 
-  // When its time began: the wait for the answers before it does not count.
-  Micros turn(const Request& r) const {
-    const auto ahead = requests_.find(r.ahead);
-    if (ahead == requests_.end() || ahead->second.answers.empty()) return r.asked;
-    return std::max(r.asked, ahead->second.answers.front().first);
+  // When the request's time limit starts: after the answer to the request that it is pipelined behind.
+  Micros time_limit_start(const Request& request) const {
+    const auto ahead = requests_.find(request.ahead);
+    if (ahead == requests_.end() || ahead->second.answers.empty()) return request.sent_at;
+    return std::max(request.sent_at, ahead->second.answers.front().first);
   }
 
-  void answered(const std::string& id, const Request& r) {
-    if (r.asked == 0) return;
+  void check_answer(const std::string& id, const Request& request) {
+    if (request.sent_at == 0) return;
     ++verdict_.counts["asked"];
-    if (r.answers.empty()) return unanswered(id, r);
-    const auto& [when, text] = r.answers.front();
-    if (r.answers.size() > 1) say(id + " has two answers");
-    const Micros due = turn(r) + r.wait + kAnswerSlack + kRecordSlack + stopped(r.head, r.asked, when);
+    if (request.answers.empty()) return check_unanswered(id, request);
+    const auto& [when, text] = request.answers.front();
+    if (request.answers.size() > 1) report(id + " has two answers");
+    const Micros due = time_limit_start(request) + request.timeout + kAnswerSlack + kRecordSlack +
+                       paused_time(request.head, request.sent_at, when);
     if (when > due)
-      say("answer: " + id + " of head " + std::to_string(r.head) + " came late by " +
-          std::to_string((when - due) / kMillisecond) + " ms beyond all slack, asked at " + at(r.asked));
+      report("answer: " + id + " of head " + std::to_string(request.head) + " was late by " +
+             std::to_string((when - due) / kMillisecond) + " ms beyond all slack, sent at " +
+             format_time(request.sent_at));
     if (text[0] == '$') {
       ++verdict_.counts["served"];
-      const bool made = std::ranges::any_of(r.made, [&](Micros m) { return m <= when; });
-      if (text != "$value-" + id || !made) say("value: " + id + " was served " + text.substr(0, 40));
+      const bool was_sent =
+          std::ranges::any_of(request.values_sent_at, [&](Micros sent_at) { return sent_at <= when; });
+      if (text != "$value-" + id || !was_sent) report("value: " + id + " was served " + text.substr(0, 40));
     } else if (text.starts_with("-BUSY")) {
       ++verdict_.counts["refused"];
-      if (r.kind == "write" && !effects(r).empty()) say("effect: " + id + " was refused after it ran");
+      if (request.group == "write" && !effects(request).empty())
+        report("effect: " + id + " was refused after it ran");
     } else {
       ++verdict_.counts["failed"];
     }
   }
 
-  void unanswered(const std::string& id, const Request& r) {
-    const Micros until = r.closed.value_or(r.asked + r.wait + kAnswerSlack);
-    const bool excused =
-        r.left || killed_between(r.head, r.asked, until) || (r.closed && !taken_.contains(id));
-    ++verdict_.counts[excused ? "excused" : "lost"];
-    if (excused) return;
-    say("lost: " + id + " of head " + std::to_string(r.head) + " asked at " + at(r.asked) +
-        (r.closed ? ", closed at " + at(*r.closed) : ", never answered") + ", runs " +
-        std::to_string(r.runs.size()));
+  void check_unanswered(const std::string& id, const Request& request) {
+    const Micros until = request.head_closed_at.value_or(request.sent_at + request.timeout + kAnswerSlack);
+    const bool is_excused = request.client_closed_at ||
+                            was_killed_between(request.head, request.sent_at, until) ||
+                            (request.head_closed_at && !read_requests_.contains(id));
+    ++verdict_.counts[is_excused ? "excused" : "lost"];
+    if (is_excused) return;
+    report("lost: " + id + " of head " + std::to_string(request.head) + " sent at " +
+           format_time(request.sent_at) +
+           (request.head_closed_at ? ", closed at " + format_time(*request.head_closed_at)
+                                   : ", never answered") +
+           ", runs " + std::to_string(request.runs.size()));
   }
 
-  void ran(const std::string& id, const Request& r) {
-    if (r.asked == 0) return;
-    const std::vector<Run> ones = effects(r);
-    for (std::size_t i = 1; i < ones.size(); ++i) {
-      const Micros after = ones[i].at - ones[0].at;
-      const bool forgotten = r.kind == "keyed" && after > plan_.memory_span && !reads_late(ones[i]);
-      if (r.kind == "write" || forgotten)
-        say("effect: " + id + " (" + r.kind + ") of head " + std::to_string(r.head) + " ran again at " +
-            at(ones[i].at) + ", " + std::to_string(after / kMillisecond) + " ms after the first");
+  void check_runs(const std::string& id, const Request& request) {
+    if (request.sent_at == 0) return;
+    const std::vector<Run> effective_runs = effects(request);
+    for (std::size_t i = 1; i < effective_runs.size(); ++i) {
+      const Micros elapsed = effective_runs[i].at - effective_runs[0].at;
+      const bool is_beyond_memory =
+          request.group == "keyed" && elapsed > plan_.memory_span && !may_be_read_late(effective_runs[i]);
+      if (request.group == "write" || is_beyond_memory)
+        report("effect: " + id + " (" + request.group + ") of head " + std::to_string(request.head) +
+               " ran again at " + format_time(effective_runs[i].at) + ", " +
+               std::to_string(elapsed / kMillisecond) + " ms after the first");
     }
-    for (const Run& run : r.runs) {
-      if (reads_late(run)) continue;
-      const Micros left = r.asked + r.wait - run.at;
-      if (run.told > left + kToldSlack + kRecordSlack)
-        say("told: " + id + " of head " + std::to_string(r.head) + " at " + at(run.at) + ": node " +
-            std::to_string(run.node) + " was told " + std::to_string(run.told / kMillisecond) +
-            " ms, the client had " + std::to_string(left / kMillisecond));
-      if (r.left && run.at > *r.left + kGoneSlack + kRecordSlack + stopped(r.head, *r.left, run.at))
-        say("gone: " + id + " of head " + std::to_string(r.head) + " began " +
-            std::to_string((run.at - *r.left) / kMillisecond) + " ms after its client closed");
+    for (const Run& run : request.runs) {
+      if (may_be_read_late(run)) continue;
+      const Micros time_left = request.sent_at + request.timeout - run.at;
+      if (run.time_limit > time_left + kTimeLimitSlack + kRecordSlack)
+        report("told: " + id + " of head " + std::to_string(request.head) + " at " + format_time(run.at) +
+               ": node " + std::to_string(run.node) + " was told " +
+               std::to_string(run.time_limit / kMillisecond) + " ms, the client had " +
+               std::to_string(time_left / kMillisecond));
+      if (request.client_closed_at &&
+          run.at > *request.client_closed_at + kClientGoneSlack + kRecordSlack +
+                       paused_time(request.head, *request.client_closed_at, run.at))
+        report("gone: " + id + " of head " + std::to_string(request.head) + " began " +
+               std::to_string((run.at - *request.client_closed_at) / kMillisecond) +
+               " ms after its client closed");
     }
   }
 
-  // When the process that sent at `moment` had been told of a version: as discovery wrote it, or at the
-  // latest when the terms say so.
-  Micros told(int head, long version, Micros change, Micros sent) const {
-    const Life* life = life_at(head, sent);
-    Micros reachable = std::max(change, life ? life->started : change);
-    for (const Event& e : plan_.events)
-      if (e.trouble == Trouble::silence_discovery && e.from + plan_.start <= reachable &&
-          e.until + plan_.start > reachable)
-        reachable = e.until + plan_.start;
+  // When the process that sent at `sent` had learned of a version: when discovery sent it, or at the latest
+  // when the rules require the head to have fetched it.
+  Micros informed_at(int head, long version, Micros change, Micros sent) const {
+    const Process* process = process_at(head, sent);
+    Micros reachable = std::max(change, process ? process->started_at : change);
+    for (const FaultEvent& event : plan_.events)
+      if (event.fault == Fault::silence_discovery && event.from + plan_.start <= reachable &&
+          event.until + plan_.start > reachable)
+        reachable = event.until + plan_.start;
     const Micros since = reachable;
-    Micros when = reachable + kToldAtLatest;
-    for (const auto& [moment, told] : told_[static_cast<std::size_t>(head)])
-      if (told >= version && moment >= since) when = std::min(when, moment);
+    Micros when = reachable + kListRefreshLimit;
+    for (const auto& [time, told] : list_sends_[static_cast<std::size_t>(head)])
+      if (told >= version && time >= since) when = std::min(when, time);
     return when;
   }
 
-  void drains() {
-    const std::vector<Change> all = changes(plan_);
+  void check_drains() {
+    const std::vector<NodeChange> all = node_changes(plan_);
     for (std::size_t i = 0; i < all.size(); ++i) {
-      if (all[i].view.state != "Terminating") continue;
+      if (all[i].status.state != "Terminating") continue;
       Micros until = plan_.length * 2;
       for (std::size_t k = i + 1; k < all.size(); ++k)
-        if (all[k].node == all[i].node && all[k].view.state == "Ready") until = std::min(until, all[k].at);
-      for (const auto& [id, r] : requests_)
-        for (const Run& run : r.runs) {
-          if (r.asked == 0 || run.node != all[i].node || run.at > plan_.start + until || reads_late(run))
+        if (all[k].node == all[i].node && all[k].status.state == "Ready") until = std::min(until, all[k].at);
+      for (const auto& [id, request] : requests_)
+        for (const Run& run : request.runs) {
+          if (request.sent_at == 0 || run.node != all[i].node || run.at > plan_.start + until ||
+              may_be_read_late(run))
             continue;
-          const Micros known = told(r.head, static_cast<long>(i) + 2, plan_.start + all[i].at, run.at);
-          if (run.at > known + kDrainGrace + kHoldUp + kRecordSlack)
-            say("drain: " + id + " of head " + std::to_string(r.head) + " to node " +
-                std::to_string(run.node) + " at " + at(run.at) + ", told at " + at(known));
+          const Micros known_at =
+              informed_at(request.head, static_cast<long>(i) + 2, plan_.start + all[i].at, run.at);
+          if (run.at > known_at + kDrainGrace + kDrainQueueSlack + kRecordSlack)
+            report("drain: " + id + " of head " + std::to_string(request.head) + " to node " +
+                   std::to_string(run.node) + " at " + format_time(run.at) + ", told at " +
+                   format_time(known_at));
         }
     }
   }
 
-  // A node that comes back cold falls when it gets more than N and its chance within the rule's time; the
-  // rule is broken where over two thirds of that came from heads that had been told of the start.
-  void cold_nodes() {
-    const std::vector<Change> all = changes(plan_);
-    for (const Event& e : plan_.events) {
-      if (e.trouble != Trouble::restart_node) continue;
-      const auto change = std::ranges::find_if(
-          all, [&](const Change& c) { return c.node == e.target && c.at > e.from && c.view.started_ms > 0; });
+  // A restarted node is overloaded when it gets more than N commands, plus random variation, within the
+  // rule's window. The rule is broken where over two thirds of them came from heads that knew of the restart.
+  void check_cold_nodes() {
+    const std::vector<NodeChange> all = node_changes(plan_);
+    for (const FaultEvent& event : plan_.events) {
+      if (event.fault != Fault::restart_node) continue;
+      const auto change = std::ranges::find_if(all, [&](const NodeChange& candidate) {
+        return candidate.node == event.target && candidate.at > event.from && candidate.status.started_ms > 0;
+      });
       if (change == all.end()) continue;
-      cold_node(plan_.start + e.from, e.target, change - all.begin() + 2, plan_.start + change->at);
+      check_cold_node(plan_.start + event.from, event.target, change - all.begin() + 2,
+                      plan_.start + change->at);
     }
   }
 
-  void cold_node(Micros started, int node, long version, Micros change) {
-    std::vector<std::pair<Micros, bool>> sent;  // when, and whether by one that had been told
-    for (const auto& [id, r] : requests_)
-      for (const Run& run : r.runs)
-        if (run.node == node && run.at > started && run.at < started + kWarmWithin && r.asked > 0)
-          sent.emplace_back(run.at, run.at > told(r.head, version, change, run.at));
+  void check_cold_node(Micros started, int node, long version, Micros change) {
+    std::vector<std::pair<Micros, bool>> sent;  // when, and whether by a head that knew of the restart
+    for (const auto& [id, request] : requests_)
+      for (const Run& run : request.runs)
+        if (run.node == node && run.at > started && run.at < started + kWarmUp && request.sent_at > 0)
+          sent.emplace_back(run.at, run.at > informed_at(request.head, version, change, run.at));
     std::ranges::sort(sent);
     for (std::size_t first = 0, last = 0; last < sent.size(); ++last) {
-      while (sent[first].first <= sent[last].first - kOverloadFor) ++first;
-      const double warm = static_cast<double>(sent[last].first - started) / static_cast<double>(kWarmWithin);
-      const double n = kColdBears / kUsualUnits * (kColdFrom + (1 - kColdFrom) * warm) / kColdFrom;
-      const double most = n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
+      while (sent[first].first <= sent[last].first - kOverloadWindow) ++first;
+      const double warm_share =
+          static_cast<double>(sent[last].first - started) / static_cast<double>(kWarmUp);
+      const double n = kColdUnits / kUsualUnits * (kColdShare + (1 - kColdShare) * warm_share) / kColdShare;
+      const double allowed = n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
       const auto window = std::span(sent).subspan(first, last - first + 1);
-      if (static_cast<double>(window.size()) <= most) continue;
-      const auto by_told = std::ranges::count(window, true, &std::pair<Micros, bool>::second);
-      if (static_cast<std::size_t>(by_told) * 3 > window.size() * 2)
-        say("cold: node " + std::to_string(node) + " started at " + at(started) + " got " +
-            std::to_string(window.size()) + " within the rule's time, " +
-            std::to_string(static_cast<int>(most)) + " allowed at " + at(sent[last].first));
+      if (static_cast<double>(window.size()) <= allowed) continue;
+      const auto by_informed = std::ranges::count(window, true, &std::pair<Micros, bool>::second);
+      if (static_cast<std::size_t>(by_informed) * 3 > window.size() * 2)
+        report("cold: node " + std::to_string(node) + " started at " + format_time(started) + " got " +
+               std::to_string(window.size()) + " commands within the rule's window, " +
+               std::to_string(static_cast<int>(allowed)) + " allowed at " + format_time(sent[last].first));
       return;
     }
   }
 
-  void rude() {
-    for (const auto& [name, line] : rude_) {
+  void check_misbehaving_clients() {
+    for (const auto& [name, line] : misbehaviors_) {
       const int head = std::stoi(line.fields[0]);
-      const auto done = rude_done_[name];
-      const Micros until = line.at + kRudeOwed + 3 * kRecordSlack;
-      const Life* life = life_at(head, line.at);
-      if (life && (life->exit || life->kill)) continue;
-      if (!done || *done > until + stopped(head, line.at, until))
-        say("rude: a bad client (kind " + line.fields[1] + ") of head " + line.fields[0] + " at " +
-            at(line.at) + " got neither error nor close in time");
+      const auto done = misbehavior_ended_[name];
+      const Micros until = line.at + kErrorAnswerLimit + 3 * kRecordSlack;
+      const Process* process = process_at(head, line.at);
+      if (process && (process->exited_at || process->killed_at)) continue;
+      if (!done || *done > until + paused_time(head, line.at, until))
+        report("rude: a misbehaving client (kind " + line.fields[1] + ") of head " + line.fields[0] + " at " +
+               format_time(line.at) + " got neither error nor close in time");
     }
   }
 
-  void processes() {
+  void check_processes() {
     for (int head = 0; head < plan_.heads; ++head)
-      for (const Life& life : lives_[static_cast<std::size_t>(head)]) {
-        const std::string who = "head " + std::to_string(head) + " started at " + at(life.started);
-        const Micros end = std::min(life.kill.value_or(INT64_MAX), life.term.value_or(INT64_MAX));
-        if (!life.ready && end > life.started + kReadyWithin) say("ready: " + who + " never was");
-        if (life.ready && *life.ready > life.started + kReadyWithin) say("ready: " + who + " took too long");
-        if (life.exit && !life.term && !life.kill) say("crash: " + who + " ended by itself");
-        if (!life.term || life.kill) continue;
-        if (!life.exit || *life.exit > *life.term + kEndsWithin + 2 * kRecordSlack)
-          say("end: " + who + " went on for too long after SIGTERM");
-        else if (life.code != 0)
-          say("end: " + who + " ended with code " + std::to_string(life.code));
+      for (const Process& process : processes_[static_cast<std::size_t>(head)]) {
+        const std::string name =
+            "head " + std::to_string(head) + " started at " + format_time(process.started_at);
+        const Micros end =
+            std::min(process.killed_at.value_or(INT64_MAX), process.terminated_at.value_or(INT64_MAX));
+        if (!process.ready_at && end > process.started_at + kReadyLimit)
+          report("ready: " + name + " never became ready");
+        if (process.ready_at && *process.ready_at > process.started_at + kReadyLimit)
+          report("ready: " + name + " took too long to become ready");
+        if (process.exited_at && !process.terminated_at && !process.killed_at)
+          report("crash: " + name + " exited without a signal from the runner");
+        if (!process.terminated_at || process.killed_at) continue;
+        if (!process.exited_at ||
+            *process.exited_at > *process.terminated_at + kShutdownLimit + 2 * kRecordSlack)
+          report("end: " + name + " took too long to exit after SIGTERM");
+        else if (process.exit_code != 0)
+          report("end: " + name + " exited with code " + std::to_string(process.exit_code));
       }
   }
 
   const Plan& plan_;
   const std::string folder_;
   std::map<std::string, Request> requests_;
-  std::vector<std::vector<Life>> lives_;
-  std::vector<std::vector<std::pair<Micros, long>>> told_;
-  std::map<std::string, Line> rude_;
-  std::map<std::string, std::optional<Micros>> rude_done_;
-  std::set<std::string> taken_;
+  std::vector<std::vector<Process>> processes_;
+  std::vector<std::vector<std::pair<Micros, long>>> list_sends_;
+  std::map<std::string, RecordLine> misbehaviors_;
+  std::map<std::string, std::optional<Micros>> misbehavior_ended_;
+  std::set<std::string> read_requests_;
   Verdict verdict_;
 };
 
 }  // namespace
 
-Verdict judge(const Plan& plan, const std::string& folder) { return Judge(plan, folder).verdict(); }
+Verdict check_run(const Plan& plan, const std::string& folder) { return RunChecker(plan, folder).run(); }
 
 }  // namespace yewmount::soak
--- a/tests/soak/oracle.h
+++ b/tests/soak/oracle.h
@@ -1,4 +1,4 @@
-// Holds the rules against what the processes of a soak recorded. Shares no code with the head.
+// The oracle of the soak: checks the records of a run against the rules. Shares no code with the head.
 #pragma once
 #include <map>
 #include <string>
@@ -10,10 +10,10 @@
 
 struct Verdict {
   std::vector<std::string> violations;  // one line each
-  std::map<std::string, long> counts;   // asked, served, refused, failed, excused, runs
+  std::map<std::string, long> counts;   // asked, served, refused, failed, excused, lost, runs
 };
 
-// Reads all records and head logs of the folder.
-Verdict judge(const Plan& plan, const std::string& folder);
+// Checks all records and head logs in the folder.
+Verdict check_run(const Plan& plan, const std::string& folder);
 
 }  // namespace yewmount::soak
--- a/tests/soak/plan.cpp
+++ b/tests/soak/plan.cpp
@@ -11,102 +11,107 @@
                                   "hang_node",       "restart_node",  "drain_node",  "silence_discovery",
                                   "reset_links",     "silence_links", "late_links",  "spoil_answers",
                                   "leaving_clients", "rude_clients",  "step_clock"};
-static_assert(std::size(kNames) == static_cast<std::size_t>(Trouble::count));
+static_assert(std::size(kNames) == static_cast<std::size_t>(Fault::count));
 
-constexpr Micros kQuietStart = 2 * kSecond;      // before the first trouble
-constexpr Micros kBetween = 600 * kMillisecond;  // on average, between the starts of two troubles
+constexpr Micros kFirstFaultAfter = 2 * kSecond;
+constexpr Micros kMeanFaultInterval = 600 * kMillisecond;  // between the starts of two faults
 
-bool of_head(Trouble t) { return t <= Trouble::stop_head; }
+bool targets_head(Fault fault) { return fault <= Fault::stop_head; }
 
-struct Draw {
-  std::mt19937_64 chance;
-  Micros between(Micros least, Micros most) {
-    return least + static_cast<Micros>(chance() % static_cast<std::uint64_t>(most - least + 1));
+// Draws uniform values from the seeded generator.
+struct RandomSource {
+  std::mt19937_64 generator;
+  Micros between(Micros minimum, Micros maximum) {
+    return minimum + static_cast<Micros>(generator() % static_cast<std::uint64_t>(maximum - minimum + 1));
   }
-  int below(int n) { return static_cast<int>(chance() % static_cast<std::uint64_t>(n)); }
+  int below(int n) { return static_cast<int>(generator() % static_cast<std::uint64_t>(n)); }
 };
 
-Micros length_of(Trouble trouble, Draw& draw) {
-  switch (trouble) {
-    case Trouble::stop_head:
-      return draw.between(50 * kMillisecond, 140 * kMillisecond);
-    case Trouble::silence_discovery:
-    case Trouble::hang_node:
-      return draw.between(400 * kMillisecond, 2500 * kMillisecond);
-    case Trouble::drain_node:
-      return draw.between(3 * kSecond, 5 * kSecond);
-    case Trouble::terminate_head:
-    case Trouble::kill_head:
-    case Trouble::restart_node:
-    case Trouble::step_clock:
-    case Trouble::reload_head:
+Micros draw_duration(Fault fault, RandomSource& random) {
+  switch (fault) {
+    case Fault::stop_head:
+      return random.between(50 * kMillisecond, 140 * kMillisecond);
+    case Fault::silence_discovery:
+    case Fault::hang_node:
+      return random.between(400 * kMillisecond, 2500 * kMillisecond);
+    case Fault::drain_node:
+      return random.between(3 * kSecond, 5 * kSecond);
+    case Fault::terminate_head:
+    case Fault::kill_head:
+    case Fault::restart_node:
+    case Fault::step_clock:
+    case Fault::reload_head:
       return 0;
     default:
-      return draw.between(800 * kMillisecond, 3 * kSecond);
+      return random.between(800 * kMillisecond, 3 * kSecond);
   }
 }
 
 }  // namespace
 
-const char* name(Trouble trouble) { return kNames[static_cast<int>(trouble)]; }
+const char* name(Fault fault) { return kNames[static_cast<int>(fault)]; }
 
-Micros now() {
+Micros monotonic_now() {
   using namespace std::chrono;
   return duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count();
 }
 
-bool Plan::active(Trouble trouble, int target, Micros at) const { return touched(trouble, target, at, at); }
+bool Plan::is_active(Fault fault, int target, Micros at) const {
+  return was_active_within(fault, target, at, at);
+}
 
-bool Plan::touched(Trouble trouble, int target, Micros from, Micros until) const {
-  for (const Event& e : events)
-    if (e.trouble == trouble && e.target == target && e.from <= until - start && e.until >= from - start)
+bool Plan::was_active_within(Fault fault, int target, Micros from, Micros until) const {
+  for (const FaultEvent& event : events)
+    if (event.fault == fault && event.target == target && event.from <= until - start &&
+        event.until >= from - start)
       return true;
   return false;
 }
 
-Plan draw(std::uint64_t seed, Micros length) {
-  Draw draw{std::mt19937_64(seed)};
+Plan draw_plan(std::uint64_t seed, Micros length) {
+  RandomSource random{std::mt19937_64(seed)};
   Plan plan;
   plan.seed = seed;
   plan.length = length;
-  plan.heads = 5 + draw.below(4);
-  plan.nodes = 5 + draw.below(4);
-  plan.memory_span = draw.between(400 * kMillisecond, 1500 * kMillisecond);
-  plan.rate = static_cast<double>(draw.between(30, 80));
-  for (int i = 0; i < plan.heads; ++i) plan.faulty.push_back(draw.below(3) == 0);
-  // One trouble after the other begins while the earlier ones still last: two or three overlap.
+  plan.heads = 5 + random.below(4);
+  plan.nodes = 5 + random.below(4);
+  plan.memory_span = random.between(400 * kMillisecond, 1500 * kMillisecond);
+  plan.rate = static_cast<double>(random.between(30, 80));
+  for (int i = 0; i < plan.heads; ++i) plan.faulty.push_back(random.below(3) == 0);
+  // Faults start while earlier ones are still active, so that two or three overlap.
   std::vector<Micros> free_at(static_cast<std::size_t>(plan.heads + plan.nodes), 0);
-  for (Micros at = kQuietStart; at < length - 2 * kSecond;
-       at += draw.between(kBetween / 3, kBetween * 5 / 3)) {
-    Event e{static_cast<Trouble>(draw.below(static_cast<int>(Trouble::count))), 0, at, at, 0};
-    e.target = draw.below(of_head(e.trouble) ? plan.heads : plan.nodes);
-    if (e.trouble >= Trouble::leaving_clients || e.trouble == Trouble::silence_discovery) e.target = 0;
-    e.until = at + length_of(e.trouble, draw);
-    if (e.trouble == Trouble::step_clock)
-      e.amount =
-          (draw.below(2) ? 1 : -1) * (draw.below(2) ? 3600 * kSecond : draw.between(kSecond, 9 * kSecond));
-    // A process is restarted, stopped or drained by one event at a time.
-    const bool lives = of_head(e.trouble) || e.trouble == Trouble::hang_node ||
-                       e.trouble == Trouble::restart_node || e.trouble == Trouble::drain_node;
-    if (lives) {
-      Micros& free = free_at[static_cast<std::size_t>(of_head(e.trouble) ? e.target : plan.heads + e.target)];
-      if (at < free) continue;
-      free = e.until + (e.trouble == Trouble::terminate_head ? 6 : 2) * kSecond;
+  for (Micros at = kFirstFaultAfter; at < length - 2 * kSecond;
+       at += random.between(kMeanFaultInterval / 3, kMeanFaultInterval * 5 / 3)) {
+    FaultEvent event{static_cast<Fault>(random.below(static_cast<int>(Fault::count))), 0, at, at, 0};
+    event.target = random.below(targets_head(event.fault) ? plan.heads : plan.nodes);
+    if (event.fault >= Fault::leaving_clients || event.fault == Fault::silence_discovery) event.target = 0;
+    event.until = at + draw_duration(event.fault, random);
+    if (event.fault == Fault::step_clock)
+      event.amount = (random.below(2) ? 1 : -1) *
+                     (random.below(2) ? 3600 * kSecond : random.between(kSecond, 9 * kSecond));
+    // At most one event at a time restarts, pauses or drains the same process.
+    const bool is_exclusive = targets_head(event.fault) || event.fault == Fault::hang_node ||
+                              event.fault == Fault::restart_node || event.fault == Fault::drain_node;
+    if (is_exclusive) {
+      Micros& free_from = free_at[static_cast<std::size_t>(
+          targets_head(event.fault) ? event.target : plan.heads + event.target)];
+      if (at < free_from) continue;
+      free_from = event.until + (event.fault == Fault::terminate_head ? 6 : 2) * kSecond;
     }
-    plan.events.push_back(e);
+    plan.events.push_back(event);
   }
   return plan;
 }
 
 nlohmann::json to_json(const Plan& plan) {
   nlohmann::json events = nlohmann::json::array();
-  for (const Event& e : plan.events)
-    events.push_back({{"trouble", static_cast<int>(e.trouble)},
-                      {"name", name(e.trouble)},
-                      {"target", e.target},
-                      {"from", e.from},
-                      {"until", e.until},
-                      {"amount", e.amount}});
+  for (const FaultEvent& event : plan.events)
+    events.push_back({{"trouble", static_cast<int>(event.fault)},
+                      {"name", name(event.fault)},
+                      {"target", event.target},
+                      {"from", event.from},
+                      {"until", event.until},
+                      {"amount", event.amount}});
   return {{"seed", plan.seed},
           {"heads", plan.heads},
           {"nodes", plan.nodes},
@@ -121,7 +126,7 @@
           {"events", events}};
 }
 
-Plan plan_from(const nlohmann::json& json) {
+Plan plan_from_json(const nlohmann::json& json) {
   Plan plan;
   json.at("seed").get_to(plan.seed);
   json.at("heads").get_to(plan.heads);
@@ -134,9 +139,9 @@
   json.at("rate").get_to(plan.rate);
   json.at("faulty").get_to(plan.faulty);
   json.at("base").get_to(plan.base);
-  for (const auto& e : json.at("events"))
-    plan.events.push_back({static_cast<Trouble>(e.at("trouble").get<int>()), e.at("target"), e.at("from"),
-                           e.at("until"), e.at("amount")});
+  for (const auto& event : json.at("events"))
+    plan.events.push_back({static_cast<Fault>(event.at("trouble").get<int>()), event.at("target"),
+                           event.at("from"), event.at("until"), event.at("amount")});
   return plan;
 }
 
--- a/tests/soak/proxy.cpp
+++ b/tests/soak/proxy.cpp
@@ -1,5 +1,5 @@
-// The proxy in front of the nodes: forwards bytes, and in its troubled times resets connections in the midst
-// of them, swallows them, or lets no new connection come up.
+// The proxy in front of the nodes. It forwards bytes; while a fault is active it resets connections in the
+// middle of a transfer, discards bytes, or accepts no new connections.
 #include <sys/socket.h>
 
 #include <asio.hpp>
@@ -14,47 +14,50 @@
 
 using asio::ip::tcp;
 
-constexpr unsigned kResetOneIn = 20;  // pieces of bytes, in a time of resets
-constexpr int kFillers = 8;           // connections that fill a listen queue of length zero
+constexpr unsigned kResetOneInChunks = 20;  // received chunks, while connections are reset
+constexpr int kQueueFillers = 8;            // connections that fill a listen queue of length zero
 
+// Forwards the connections to one node.
 class NodeProxy {
  public:
   NodeProxy(asio::io_context& io, const Plan& plan, int node)
       : io_(io),
         plan_(plan),
         node_(node),
-        chance_(plan.seed * 31 + static_cast<unsigned>(node)),
+        random_(plan.seed * 31 + static_cast<unsigned>(node)),
         acceptor_(io, {asio::ip::make_address(plan.node_proxy(node)), Plan::kPort}),
-        tick_(io) {
+        timer_(io) {
     accept();
     tick();
   }
 
  private:
-  struct Side {
-    explicit Side(tcp::socket s) : socket(std::move(s)) {}
+  struct Endpoint {
+    explicit Endpoint(tcp::socket s) : socket(std::move(s)) {}
     tcp::socket socket;
-    std::array<char, 65536> part;
+    std::array<char, 65536> buffer;
   };
   struct Link {
     Link(tcp::socket head, tcp::socket node) : head(std::move(head)), node(std::move(node)) {}
-    Side head, node;
-    bool open = true, swallowed = false;
+    Endpoint head;
+    Endpoint node;
+    bool is_open = true;
+    bool has_discarded = false;
     void reset() {
-      open = false;
-      for (Side* side : {&head, &node}) {
+      is_open = false;
+      for (Endpoint* endpoint : {&head, &node}) {
         std::error_code ignored;
-        side->socket.set_option(asio::socket_base::linger(true, 0), ignored);
-        side->socket.close(ignored);
+        endpoint->socket.set_option(asio::socket_base::linger(true, 0), ignored);
+        endpoint->socket.close(ignored);
       }
     }
   };
 
-  bool has(Trouble trouble) const { return plan_.active(trouble, node_, now()); }
+  bool is_active(Fault fault) const { return plan_.is_active(fault, node_, monotonic_now()); }
 
   void accept() {
     acceptor_.async_accept([this](std::error_code error, tcp::socket socket) {
-      if (held_) return;
+      if (is_blocked_) return;
       if (!error) connect(std::move(socket));
       accept();
     });
@@ -66,63 +69,64 @@
                                     [this, link](std::error_code error) {
                                       if (error) return link->reset();
                                       links_.push_back(link);
-                                      for (Side* side : {&link->head, &link->node})
-                                        side->socket.set_option(tcp::no_delay(true));
-                                      pump(link, link->head, link->node);
-                                      pump(link, link->node, link->head);
+                                      for (Endpoint* endpoint : {&link->head, &link->node})
+                                        endpoint->socket.set_option(tcp::no_delay(true));
+                                      forward(link, link->head, link->node);
+                                      forward(link, link->node, link->head);
                                     });
   }
 
-  void pump(std::shared_ptr<Link> link, Side& from, Side& to) {
-    from.socket.async_read_some(
-        asio::buffer(from.part), [=, this, &from, &to](std::error_code error, std::size_t n) {
-          if (!link->open) return;
-          if (error == asio::error::eof) {
-            std::error_code ignored;
-            to.socket.shutdown(tcp::socket::shutdown_send, ignored);
-            return;
-          }
-          if (error) return link->reset();
-          if (has(Trouble::silence_links)) {
-            link->swallowed = true;
-          } else {
-            const bool breaks = has(Trouble::reset_links) && chance_() % kResetOneIn == 0;
-            std::error_code ignored;
-            asio::write(to.socket, asio::buffer(from.part, breaks ? chance_() % (n + 1) : n), ignored);
-            if (breaks) return link->reset();
-          }
-          pump(link, from, to);
-        });
+  void forward(std::shared_ptr<Link> link, Endpoint& from, Endpoint& to) {
+    from.socket.async_read_some(asio::buffer(from.buffer), [=, this, &from, &to](std::error_code error,
+                                                                                 std::size_t n) {
+      if (!link->is_open) return;
+      if (error == asio::error::eof) {
+        std::error_code ignored;
+        to.socket.shutdown(tcp::socket::shutdown_send, ignored);
+        return;
+      }
+      if (error) return link->reset();
+      if (is_active(Fault::silence_links)) {
+        link->has_discarded = true;
+      } else {
+        const bool should_reset = is_active(Fault::reset_links) && random_() % kResetOneInChunks == 0;
+        std::error_code ignored;
+        asio::write(to.socket, asio::buffer(from.buffer, should_reset ? random_() % (n + 1) : n), ignored);
+        if (should_reset) return link->reset();
+      }
+      forward(link, from, to);
+    });
   }
 
   void tick() {
-    if (has(Trouble::late_links) != held_) held_ ? let_on() : hold();
+    if (is_active(Fault::late_links) != is_blocked_)
+      is_blocked_ ? unblock_connections() : block_connections();
     std::erase_if(links_, [&](const std::shared_ptr<Link>& link) {
-      if (link->swallowed && !has(Trouble::silence_links)) link->reset();
-      return !link->open;
+      if (link->has_discarded && !is_active(Fault::silence_links)) link->reset();
+      return !link->is_open;
     });
-    tick_.expires_after(std::chrono::milliseconds(10));
-    tick_.async_wait([this](std::error_code) { tick(); });
+    timer_.expires_after(std::chrono::milliseconds(10));
+    timer_.async_wait([this](std::error_code) { tick(); });
   }
 
-  // No more connections fit into the kernel's queue, and none is taken.
-  void hold() {
-    held_ = true;
+  // Fills the kernel's listen queue and accepts nothing, so that new connections are not established.
+  void block_connections() {
+    is_blocked_ = true;
     std::error_code ignored;
     acceptor_.cancel(ignored);
     ::listen(acceptor_.native_handle(), 0);
-    for (int i = 0; i < kFillers; ++i) {
-      fillers_.emplace_back(io_);
-      fillers_.back().open(tcp::v4());
-      fillers_.back().native_non_blocking(true);
+    for (int i = 0; i < kQueueFillers; ++i) {
+      queue_fillers_.emplace_back(io_);
+      queue_fillers_.back().open(tcp::v4());
+      queue_fillers_.back().native_non_blocking(true);
       const tcp::endpoint to = acceptor_.local_endpoint();
-      ::connect(fillers_.back().native_handle(), to.data(), static_cast<socklen_t>(to.size()));
+      ::connect(queue_fillers_.back().native_handle(), to.data(), static_cast<socklen_t>(to.size()));
     }
   }
 
-  void let_on() {
-    held_ = false;
-    fillers_.clear();
+  void unblock_connections() {
+    is_blocked_ = false;
+    queue_fillers_.clear();
     ::listen(acceptor_.native_handle(), 128);
     accept();
   }
@@ -130,11 +134,11 @@
   asio::io_context& io_;
   const Plan& plan_;
   const int node_;
-  std::mt19937_64 chance_;
+  std::mt19937_64 random_;
   tcp::acceptor acceptor_;
-  asio::steady_timer tick_;
-  bool held_ = false;
-  std::vector<tcp::socket> fillers_;
+  asio::steady_timer timer_;
+  bool is_blocked_ = false;
+  std::vector<tcp::socket> queue_fillers_;
   std::vector<std::shared_ptr<Link>> links_;
 };
 
--- a/tests/soak/record.h
+++ b/tests/soak/record.h
@@ -1,4 +1,5 @@
-// What the processes of a soak saw, a line an event, on the machine's monotonic clock.
+// The event records of the soak's processes: one line for each event, with the time on the machine's
+// monotonic clock in microseconds.
 #pragma once
 #include <fstream>
 #include <sstream>
@@ -9,7 +10,8 @@
 
 namespace yewmount::soak {
 
-// Written by one process. Lines are flushed at once: a killed process leaves what it had seen.
+// Writes the records of one process. Each line is flushed at once, so that none is lost when the process is
+// killed.
 class Recorder {
  public:
   explicit Recorder(const std::string& file) : out_(file, std::ios::app) {}
@@ -24,36 +26,39 @@
   std::ofstream out_;
 };
 
-// The events and their fields:
-//   ask ID HEAD CLASS WAIT_MS AHEAD     a client has sent a request whole, behind that one (-: none)
-//   answer ID TEXT                      $value, -BUSY ... or -ERR ..., blanks as underscores
-//   left ID                             its client has closed without the answer
-//   closed ID                           the head's side has ended the connection without the answer
-//   unasked HEAD                        a client got an answer that it asked nothing for
-//   rude HEAD KIND NAME / rude_done NAME    a bad client, and its error or close
-//   run ID NODE TOLD_MS                 a node has read a command whole
-//   turned ID NODE                      but has turned it away: it has not run
-//   made ID NODE                        and has sent its value whole
-//   told HEAD VERSION                   discovery has written a list of this version to a head
-//   change VERSION NODE STATE           and had it from this moment
-//   started HEAD / ready HEAD / term HEAD / kill HEAD / exit HEAD CODE      what the runner did and saw
-struct Line {
+// One recorded event. The events and their fields:
+//   ask ID HEAD GROUP WAIT_MS AHEAD   a client has sent a request, pipelined behind request AHEAD (-: none)
+//   answer ID TEXT                    $value, -BUSY ... or -ERR ..., with spaces as underscores
+//   left ID                           the client has closed the connection before the answer
+//   closed ID                         the head has closed the connection without the answer
+//   unasked HEAD                      a client got an answer with no request pending
+//   rude HEAD KIND NAME               a misbehaving client has sent its bytes
+//   rude_done NAME                    that client got an error line or was disconnected
+//   run ID NODE TOLD_MS               a node has read a complete command that states this time limit
+//   turned ID NODE                    the node has rejected the command without running it
+//   made ID NODE                      the node has sent the complete value
+//   told HEAD VERSION                 discovery has sent a list of this version to a head
+//   change VERSION NODE STATE         discovery has this version from this time on
+//   started HEAD, ready HEAD, term HEAD, kill HEAD, exit HEAD CODE
+//                                     what the runner did to a head, and what it observed
+struct RecordLine {
   Micros at = 0;
   std::string event;
   std::vector<std::string> fields;
 };
 
-inline std::vector<Line> read_lines(const std::string& file) {
-  std::vector<Line> all;
+// Reads a record file; skips lines that are malformed, such as an incomplete last one.
+inline std::vector<RecordLine> read_records(const std::string& file) {
+  std::vector<RecordLine> lines;
   std::ifstream in(file);
   for (std::string text; std::getline(in, text);) {
     std::istringstream words(text);
-    Line line;
+    RecordLine line;
     if (!(words >> line.at >> line.event)) continue;
     for (std::string field; words >> field;) line.fields.push_back(field);
-    all.push_back(std::move(line));
+    lines.push_back(std::move(line));
   }
-  return all;
+  return lines;
 }
 
 }  // namespace yewmount::soak
--- a/tests/soak/roles.h
+++ b/tests/soak/roles.h
@@ -1,5 +1,5 @@
-// The parties of a soak's world, each a process of its own: nodes, discovery, clients, and the proxy in front
-// of the nodes. Each runs until it is killed.
+// The processes around the heads of a soak run: nodes, discovery, clients, and the proxy in front of the
+// nodes. Each function runs until its process is killed, and writes what it sees to the file `records`.
 #pragma once
 #include <string>
 
@@ -12,21 +12,24 @@
 void run_clients(const Plan& plan, int number, const std::string& records);
 void run_proxy(const Plan& plan, const std::string& records);
 
-// The classes that the soak's deployment has, by effect of a repeat.
-inline constexpr const char* kClasses[] = {"read", "write", "keyed"};
+// The I/O groups of the soak's settings: reads, writes that must not be repeated, and writes with an
+// idempotency key.
+inline constexpr const char* kIoGroups[] = {"read", "write", "keyed"};
 
-// What discovery has at a moment: the state and start of each node, and the version of the whole.
-struct NodeView {
+// A node as discovery lists it.
+struct NodeStatus {
   std::string state = "Ready";
   std::int64_t started_ms = 0;
 };
-struct Change {
-  Micros at;  // from the run's start
+// A change of the node list.
+struct NodeChange {
+  Micros at;  // relative to the start of the run
   int node;
-  NodeView view;
+  NodeStatus status;
 };
-// In order; the n-th makes version n + 1 (the first list has version 1).
-std::vector<Change> changes(const Plan& plan);
-nlohmann::json list_of(const Plan& plan, Micros at);
+// All changes of a run in order of time. The list starts with version 1, and each change adds one.
+std::vector<NodeChange> node_changes(const Plan& plan);
+// The node list as discovery serves it at a time relative to the start of the run.
+nlohmann::json node_list(const Plan& plan, Micros at);
 
 }  // namespace yewmount::soak
