--- a/tests/relay/nodes_test.cpp
+++ b/tests/relay/nodes_test.cpp
@@ -76,7 +76,7 @@
   submit(1, 50'000);
   ASSERT_TRUE(until([&] { return ends.size() == 1; }));
   EXPECT_EQ(ends[0].result, Result::no_answer);
-  EXPECT_TRUE(until([&] { return last->gone; }));
+  EXPECT_TRUE(until([&] { return last->is_closed; }));
   EXPECT_EQ(nodes.connections(), 0u);
 }
 
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -16,23 +16,23 @@
 struct Serving : ::testing::Test {
   Platform p;
   void TearDown() override {
-    if (p.record.asked.empty()) return;
-    p.until([&] { return p.answered(); });
-    EXPECT_EQ(p.record.breach(), "");
+    if (p.record.requests.empty()) return;
+    p.until([&] { return p.all_answered(); });
+    EXPECT_EQ(p.record.first_violation(), "");
   }
   // One block I/O on a connection of its own; its answer.
   std::string once(bool write = false, int cell = 0, long wait = 2000) {
     auto c = p.client();
     if (!c) return "no connection";
-    const std::string id = p.ask(*c, write, cell, wait);
-    p.until([&] { return !p.record.asked[id].answers.empty(); }, static_cast<int>(wait) + 500);
+    const std::string id = p.send_request(*c, write, cell, wait);
+    p.until([&] { return !p.record.requests[id].answers.empty(); }, static_cast<int>(wait) + 500);
     return p.answer(id);
   }
   std::string raw(const std::string& bytes, int ms = 3000) {
     auto c = p.connect();
     c->send(bytes);
-    p.until([&] { return c->gone || !c->in.empty(); }, ms);
-    return c->in.empty() ? (c->gone ? "closed" : "nothing") : c->in;
+    p.until([&] { return c->is_closed || !c->in.empty(); }, ms);
+    return c->in.empty() ? (c->is_closed ? "closed" : "nothing") : c->in;
   }
   int runs(const std::string& id) {
     int n = 0;
@@ -45,10 +45,10 @@
   p.start();
   Words seen;
   int at = -1;
-  p.on_command = [&](int node, Conn& c, const Words& w) { seen = w, at = node, p.give(c, w); };
+  p.on_command = [&](int node, Conn& c, const Words& w) { seen = w, at = node, p.send_value(c, w); };
   auto c = p.client();
-  const std::string id = p.ask(*c, true, 2, 2500, std::string(65536, 'b'));
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  const std::string id = p.send_request(*c, true, 2, 2500, std::string(65536, 'b'));
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   EXPECT_EQ(p.answer(id), "$value-" + id);
   EXPECT_EQ(at, 2);
   ASSERT_EQ(seen.size(), 5u);
@@ -62,11 +62,11 @@
   p.start();
   p.on_command = [&](int node, Conn& c, const Words& w) {
     auto timer = std::make_shared<asio::steady_timer>(p.io, std::chrono::milliseconds(node == 0 ? 20 : 1));
-    timer->async_wait([&, timer, conn = c.shared_from_this(), w](auto) { p.give(*conn, w); });
+    timer->async_wait([&, timer, conn = c.shared_from_this(), w](auto) { p.send_value(*conn, w); });
   };
   auto c = p.client();
-  for (int i = 0; i < 300; ++i) p.ask(*c, false, i % 3, 4000);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }, 8000));
+  for (int i = 0; i < 300; ++i) p.send_request(*c, false, i % 3, 4000);
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }, 8000));
   EXPECT_FALSE(c->closed());
 }
 
@@ -75,12 +75,12 @@
   p.start();
   p.padding.assign(300'000, 'z');
   auto slow = p.client(false);
-  for (int i = 0; i < 90; ++i) p.ask(*slow, false, i % 3);
-  p.idle(500);
+  for (int i = 0; i < 90; ++i) p.send_request(*slow, false, i % 3);
+  p.run_for(500);
   EXPECT_LT(p.record.runs.size(), 90u);  // not read, so not submitted
   EXPECT_EQ(once().substr(0, 6), "$value");
   slow->conn->read();
-  EXPECT_TRUE(p.until([&] { return p.answered(); }, 4000));
+  EXPECT_TRUE(p.until([&] { return p.all_answered(); }, 4000));
 }
 
 TEST_F(Serving, WhatCantBeReadGetsAnErrorOrACloseAndReachesNoNode) {
@@ -127,7 +127,7 @@
   p.start();
   std::size_t cut = 0;
   p.on_command = [&](int, Conn& c, const Words& w) {
-    for (auto& r : p.record.runs) r.value |= r.id == w[2];
+    for (auto& r : p.record.runs) r.was_answered |= r.id == w[2];
     const std::string all = p.value(w[2]);
     c.send(all.substr(0, cut % all.size()));
     auto timer = std::make_shared<asio::steady_timer>(p.io, std::chrono::milliseconds(3));
@@ -139,9 +139,9 @@
   auto c = p.client();
   std::size_t size = 1;
   for (; cut < size; ++cut) {
-    const std::string id = p.ask(*c, cut % 2, static_cast<int>(cut % 3), 2000, "body", cut);
+    const std::string id = p.send_request(*c, cut % 2, static_cast<int>(cut % 3), 2000, "body", cut);
     size = c->size;
-    ASSERT_TRUE(p.until([&] { return p.answered(); })) << cut;
+    ASSERT_TRUE(p.until([&] { return p.all_answered(); })) << cut;
     ASSERT_EQ(p.answer(id), "$value-" + id) << cut;
   }
   EXPECT_GT(size, 120u);
@@ -151,7 +151,8 @@
   p.start();
   auto silent = p.connect(), half = p.connect();
   half->send("*4\r\n$8\r\nBLK.RE");
-  EXPECT_TRUE(p.until([&] { return silent->gone && (half->gone || half->in.starts_with("-ERR")); }, 3000));
+  EXPECT_TRUE(
+      p.until([&] { return silent->is_closed && (half->is_closed || half->in.starts_with("-ERR")); }, 3000));
 }
 
 TEST_F(Serving, TheIdOfAnotherClientsOpenBlockIoIsTurnedBackAndTheOtherGoesOn) {
@@ -160,11 +161,11 @@
   Words held;
   p.on_command = [&](int, Conn& c, const Words& w) { at = c.shared_from_this(), held = w; };
   auto c = p.client();
-  const std::string id = p.ask(*c);
+  const std::string id = p.send_request(*c);
   ASSERT_TRUE(p.until([&] { return at != nullptr; }));
   EXPECT_TRUE(raw(array_of({"BLK.READ", "7f3a9c21e0b4d655", id, held[3]})).starts_with("-ERR"));
-  p.give(*at, held);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  p.send_value(*at, held);
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   EXPECT_EQ(p.answer(id), "$value-" + id);
   EXPECT_EQ(runs(id), 1);
 }
@@ -181,19 +182,19 @@
   std::vector<Clock::time_point> began;
   p.on_command = [&](int node, Conn& c, const Words& w) {
     began.push_back(Clock::now());
-    if (began.size() > 1) return p.give(c, w);
-    p.nodes[node]->hold();  // the next connection is in the making for a second
+    if (began.size() > 1) return p.send_value(c, w);
+    p.nodes[node]->block_connections();  // the next connection is in the making for a second
     c.reset();
   };
   auto c = p.client();
-  const std::string id = p.ask(*c, true, 0, 3000);
+  const std::string id = p.send_request(*c, true, 0, 3000);
   ASSERT_TRUE(p.until([&] { return began.size() == 1; }));
-  p.idle(300);
-  p.nodes[0]->let_on();
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  p.run_for(300);
+  p.nodes[0]->unblock_connections();
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   for (std::size_t i = 1; i < began.size(); ++i)
     EXPECT_LT(began[i] - began[0], std::chrono::milliseconds(500)) << "the node has forgotten the first try";
-  p.record.asked[id].effect = false;  // a repeat in time would have been none
+  p.record.requests[id].is_write = false;  // a repeat in time would have been none
 }
 
 // Every way an answer can be spoilt: a failed submit that may have run. What may be repeated is; a write
@@ -207,7 +208,7 @@
         std::string("*3\r\n$5\r\nvalue-is-longer\r\n"), std::string("*3\r\n$-1\r\n$-1\r\n$-1\r\n"),
         std::string("+OK\r\n"), std::string("$5\r\nvalue\r\n"), std::string("*3\r\n$900\r\nhalf")}) {
     int tries = 0;
-    p.on_command = [&](int, Conn& c, const Words& w) { ++tries == 1 ? c.send(spoilt) : p.give(c, w); };
+    p.on_command = [&](int, Conn& c, const Words& w) { ++tries == 1 ? c.send(spoilt) : p.send_value(c, w); };
     EXPECT_TRUE(once(true).starts_with("-ERR")) << spoilt.substr(0, 40);
     tries = 0;
     const std::string text = once(false);
@@ -224,8 +225,8 @@
   p.start();
   p.padding.assign(400'000, 'z');
   auto one = p.client(), two = p.client();
-  const std::string a = p.ask(*one, false, 0), b = p.ask(*two, false, 1);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  const std::string a = p.send_request(*one, false, 0), b = p.send_request(*two, false, 1);
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   EXPECT_EQ(p.answer(a), "$value-" + a);
   EXPECT_EQ(p.answer(b), "$value-" + b);
   p.on_command = [&](int, Conn& c, const Words&) { c.send("*3\r\n$60000000\r\n" + p.padding); };
@@ -238,7 +239,7 @@
        {std::string("$5\r\n=%=,,\r\n$1\r\nx\r\n"), std::string("$-1\r\n$-1\r\n$5\r\nstray\r\n"),
         std::string("$-1\r\n$-1\r\n*3\r\n$5\r\nother\r\n$-1\r\n$-1\r\n"),
         std::string("$22\r\nused=99999999999999999\r\n+odd\r\n")}) {
-    p.on_command = [&](int, Conn& c, const Words& w) { p.give(c, w, rest); };
+    p.on_command = [&](int, Conn& c, const Words& w) { p.send_value(c, w, rest); };
     EXPECT_EQ(once().substr(0, 7), "$value-");
     p.on_command = nullptr;
     EXPECT_EQ(once().substr(0, 7), "$value-");
@@ -261,31 +262,32 @@
   std::vector<std::pair<std::shared_ptr<Conn>, Words>> held;
   p.on_command = [&](int, Conn& c, const Words& w) { held.emplace_back(c.shared_from_this(), w); };
   auto leaving = p.client();
-  const std::string gone = p.ask(*leaving);
+  const std::string gone = p.send_request(*leaving);
   ASSERT_TRUE(p.until([&] { return held.size() == 1; }));
-  p.record.asked[gone].left = true;
+  p.record.requests[gone].has_left = true;
   leaving->conn->reset();
-  p.idle(20);
+  p.run_for(20);
   auto c = p.client();
-  p.ask(*c);
+  p.send_request(*c);
   ASSERT_TRUE(p.until([&] { return held.size() == 2; }));
-  for (auto& [conn, words] : held) p.give(*conn, words);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  for (auto& [conn, words] : held) p.send_value(*conn, words);
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
 }
 
 // The connection to its node comes up only after its client has gone: nothing goes out on it.
 TEST_F(Serving, NothingBeginsForAClientThatLeftWhileTheConnectionCameUp) {
   p.config["settings"]["limits"]["connect-timeout-s"] = 3.0;
   p.start();
-  p.nodes[0]->hold();
+  p.nodes[0]->block_connections();
   auto leaving = p.client(), staying = p.client();
-  const std::string gone = p.ask(*leaving, false, 0, 1900), stays = p.ask(*staying, false, 0, 1900);
-  p.idle(60);
-  p.record.asked[gone].left = true;
+  const std::string gone = p.send_request(*leaving, false, 0, 1900),
+                    stays = p.send_request(*staying, false, 0, 1900);
+  p.run_for(60);
+  p.record.requests[gone].has_left = true;
   leaving->conn->reset();
-  p.idle(60);
-  p.nodes[0]->let_on();
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  p.run_for(60);
+  p.nodes[0]->unblock_connections();
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   EXPECT_EQ(p.answer(stays), "$value-" + stays);  // told what is left then, not at the wish: see the record
   EXPECT_EQ(runs(gone), 0);
 }
@@ -300,18 +302,18 @@
     p.record = {};
     held.clear();
     auto leaving = p.client();
-    for (int i = 0; i < 400; ++i) p.record.asked[p.ask(*leaving, false, i % 3)].left = true;
+    for (int i = 0; i < 400; ++i) p.record.requests[p.send_request(*leaving, false, i % 3)].has_left = true;
     ASSERT_TRUE(p.until([&] { return !held.empty(); }));
-    p.idle(100);
+    p.run_for(100);
     if (reset)
       leaving->conn->reset();
     else
       leaving->conn->socket.close();
-    p.idle(100);  // so long something may still begin
+    p.run_for(100);  // so long something may still begin
     const auto begun = p.record.runs.size();
     EXPECT_LT(begun, 400u);
-    for (auto& [conn, words] : std::exchange(held, {})) p.give(*conn, words);
-    p.idle(300);
+    for (auto& [conn, words] : std::exchange(held, {})) p.send_value(*conn, words);
+    p.run_for(300);
     EXPECT_EQ(p.record.runs.size(), begun);
   }
 }
@@ -322,12 +324,12 @@
   p.padding.assign(900'000, 'z');
   auto leaving = p.client(false);
   leaving->conn->socket.set_option(asio::socket_base::receive_buffer_size(4096));
-  for (int i = 0; i < 200; ++i) p.record.asked[p.ask(*leaving, false, i % 3)].left = true;
-  p.idle(400);
+  for (int i = 0; i < 200; ++i) p.record.requests[p.send_request(*leaving, false, i % 3)].has_left = true;
+  p.run_for(400);
   const auto begun = p.record.runs.size();
   EXPECT_LT(begun, 200u);
   leaving->conn->socket.close();
-  p.idle(300);
+  p.run_for(300);
   EXPECT_EQ(p.record.runs.size(), begun);
 }
 
@@ -341,23 +343,23 @@
   std::vector<std::pair<std::shared_ptr<Conn>, Words>> held;
   bool holds = true;
   p.on_command = [&](int, Conn& c, const Words& w) {
-    if (!holds) return p.give(c, w);
+    if (!holds) return p.send_value(c, w);
     held.emplace_back(c.shared_from_this(), w);
   };
   auto c = p.client();
-  for (int i = 0; i < 32; ++i) p.ask(*c, false, i % 3, 3000);
+  for (int i = 0; i < 32; ++i) p.send_request(*c, false, i % 3, 3000);
   ASSERT_TRUE(p.until([&] { return held.size() >= 3; }));
-  for (int i = 0; i < 5; ++i) p.ask(*c, true, i % 3, 3000, std::string(65536, 'b'));
-  p.idle(50);
-  const std::string last = p.ask(*c, false, 0, 1500);
-  p.idle(800);
+  for (int i = 0; i < 5; ++i) p.send_request(*c, true, i % 3, 3000, std::string(65536, 'b'));
+  p.run_for(50);
+  const std::string last = p.send_request(*c, false, 0, 1500);
+  p.run_for(800);
   holds = false;
-  for (auto& [conn, words] : held) p.give(*conn, words);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  for (auto& [conn, words] : held) p.send_value(*conn, words);
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   EXPECT_EQ(p.answer(last), "$value-" + last) << "it had time enough";
-  p.idle(700);
-  const std::string after = p.ask(*c, false, 0, 500);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  p.run_for(700);
+  const std::string after = p.send_request(*c, false, 0, 500);
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   EXPECT_EQ(p.answer(after), "$value-" + after) << "nothing waited before it";
 }
 
@@ -371,15 +373,15 @@
   std::vector<std::shared_ptr<Platform::Client>> others;
   for (int i = 0; i < 20; ++i) {
     others.push_back(p.client());
-    p.ask(*others.back(), false, i % 3, 3000);
+    p.send_request(*others.back(), false, i % 3, 3000);
   }
   ASSERT_TRUE(p.until([&] { return held.size() >= 3; }));
   auto newcomer = p.client();
-  p.ask(*newcomer, false, 0, 1500);
-  p.idle(400);
+  p.send_request(*newcomer, false, 0, 1500);
+  p.run_for(400);
   p.on_command = nullptr;
-  for (auto& [conn, words] : held) p.give(*conn, words);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  for (auto& [conn, words] : held) p.send_value(*conn, words);
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
 }
 
 // One that said nothing while it waited has all its time once it asks.
@@ -392,16 +394,16 @@
   std::vector<std::shared_ptr<Platform::Client>> others;
   for (int i = 0; i < 20; ++i) {
     others.push_back(p.client());
-    p.ask(*others.back(), false, i % 3, 3000);
+    p.send_request(*others.back(), false, i % 3, 3000);
   }
   ASSERT_TRUE(p.until([&] { return held.size() >= 3; }));
   auto newcomer = p.client();
-  p.idle(350);
+  p.run_for(350);
   p.on_command = nullptr;
-  for (auto& [conn, words] : held) p.give(*conn, words);
-  p.idle(600);
-  const std::string id = p.ask(*newcomer, false, 0, 500);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  for (auto& [conn, words] : held) p.send_value(*conn, words);
+  p.run_for(600);
+  const std::string id = p.send_request(*newcomer, false, 0, 500);
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   EXPECT_EQ(p.answer(id), "$value-" + id);
 }
 
@@ -409,14 +411,14 @@
 TEST_F(Serving, TimeThatTheProcessStoodStillIsNotTheNodes) {
   p.start();
   auto c = p.client();
-  p.ask(*c);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  p.send_request(*c);
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   kill(p.head, SIGSTOP);
-  p.idle(20);
-  p.ask(*c, false, 0, 1500);
-  p.idle(500);
+  p.run_for(20);
+  p.send_request(*c, false, 0, 1500);
+  p.run_for(500);
   kill(p.head, SIGCONT);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
 }
 
 TEST_F(Serving, AClientThatEndsItsSendingStillGetsItsAnswers) {
@@ -425,12 +427,12 @@
   p.on_command = [&](int, Conn& c, const Words& w) { held.emplace_back(c.shared_from_this(), w); };
   auto c = p.client();
   std::vector<std::string> ids;
-  for (int i = 0; i < 60; ++i) ids.push_back(p.ask(*c, false, i % 3));
+  for (int i = 0; i < 60; ++i) ids.push_back(p.send_request(*c, false, i % 3));
   c->conn->socket.shutdown(asio::socket_base::shutdown_send);
   ASSERT_TRUE(p.until([&] { return !held.empty(); }));
-  p.idle(100);
-  for (auto& [conn, words] : std::exchange(held, {})) p.give(*conn, words);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  p.run_for(100);
+  for (auto& [conn, words] : std::exchange(held, {})) p.send_value(*conn, words);
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   EXPECT_EQ(p.answer(ids[0]), "$value-" + ids[0]);
   EXPECT_EQ(p.answer(ids[59]), "-BUSY");
   EXPECT_EQ(runs(ids[59]), 0);
@@ -446,17 +448,17 @@
     SCOPED_TRACE(end);
     auto c = p.client(false);
     std::vector<std::string> ids;
-    for (int i = 0; i < 5; ++i) ids.push_back(p.ask(*c, false, i % 3, 4000));
+    for (int i = 0; i < 5; ++i) ids.push_back(p.send_request(*c, false, i % 3, 4000));
     if (end)
       kill(p.head, SIGTERM);
     else
       c->conn->socket.shutdown(asio::socket_base::shutdown_send);
-    p.idle(end ? 3350 : 700);  // at the end: less than a fifth of a second before it
+    p.run_for(end ? 3350 : 700);  // at the end: less than a fifth of a second before it
     c->conn->read();
-    p.until([&] { return p.answered(); });
+    p.until([&] { return p.all_answered(); });
     for (const auto& id : ids) EXPECT_EQ(p.answer(id).substr(0, 7 + id.size()), "$value-" + id);
   }
-  EXPECT_EQ(p.ended(), 0);
+  EXPECT_EQ(p.wait_for_exit(), 0);
 }
 
 // A command on a resting connection in the moment in which the head shuts it: read off, so that nothing is
@@ -464,8 +466,8 @@
 TEST_F(Serving, AConnectionThatTheHeadEndsIsReadOffNotReset) {
   p.start();
   auto resting = p.client();
-  p.ask(*resting);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  p.send_request(*resting);
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   kill(p.head, SIGTERM);
   ASSERT_TRUE(p.until([&] { return resting->closed(); }, 4500));
   const auto before = p.record.runs.size();
@@ -474,9 +476,9 @@
     std::error_code error;
     asio::write(resting->conn->socket, asio::buffer(array_of({"BLK.READ", id, id, "c=read"})), error);
     EXPECT_FALSE(error) << i << " " << error.message();
-    p.idle(20);
+    p.run_for(20);
   }
-  EXPECT_EQ(p.ended(), 0);
+  EXPECT_EQ(p.wait_for_exit(), 0);
   EXPECT_EQ(p.record.runs.size(), before);
 }
 
@@ -487,20 +489,20 @@
   std::vector<std::shared_ptr<Platform::Client>> all;
   for (int i = 0; i < 20; ++i) {  // the platform's clients have half of what is not kept back
     all.push_back(p.client());
-    p.ask(*all.back());
-    ASSERT_TRUE(p.until([&] { return p.answered(); }));
-    p.idle(2);
+    p.send_request(*all.back());
+    ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
+    p.run_for(2);
   }
   kill(p.head, SIGSTOP);
   auto newcomer = p.client();
-  const std::string fresh = p.ask(*newcomer);
-  p.idle(20);
+  const std::string fresh = p.send_request(*newcomer);
+  p.run_for(20);
   std::vector<std::string> olds;
   for (auto& c : all)
-    if (!c->closed()) olds.push_back(p.ask(*c));
-  p.idle(20);
+    if (!c->closed()) olds.push_back(p.send_request(*c));
+  p.run_for(20);
   kill(p.head, SIGCONT);
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   EXPECT_EQ(p.answer(fresh).substr(0, 6), "$value");
   EXPECT_GE(olds.size(), 19u);
 }
@@ -510,17 +512,18 @@
   p.start();
   p.on_command = [&](int, Conn&, const Words&) {};
   auto patient = p.client();
-  const std::string id = p.ask(*patient, true, 0, 60'000), read = p.ask(*patient, false, 9, 60'000);
-  p.idle(50);
+  const std::string id = p.send_request(*patient, true, 0, 60'000),
+                    read = p.send_request(*patient, false, 9, 60'000);
+  p.run_for(50);
   const auto from = Clock::now();
   kill(p.head, SIGSTOP);
   for (const int signal : {SIGTERM, SIGHUP, SIGTERM, SIGCONT}) kill(p.head, signal);
-  p.idle(100);
+  p.run_for(100);
   kill(p.head, SIGTERM);
-  EXPECT_EQ(p.ended(), 0);
+  EXPECT_EQ(p.wait_for_exit(), 0);
   EXPECT_GT(ms_since(from), 2800);
   EXPECT_LT(ms_since(from), 4500);
-  p.idle(50);
+  p.run_for(50);
   EXPECT_EQ(p.answer(id), "-ERR failed");
   EXPECT_EQ(p.answer(read), "-BUSY");
 }
@@ -534,12 +537,12 @@
   auto c = p.client();
   const int all = 200;
   for (int i = 0; i < all; ++i) {
-    p.ask(*c, i % 2 == 1, i % 3);
-    p.idle(25);
+    p.send_request(*c, i % 2 == 1, i % 3);
+    p.run_for(25);
   }
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   int served = 0;
-  for (const auto& [id, asked] : p.record.asked) served += asked.answers[0][0] == '$';
+  for (const auto& [id, asked] : p.record.requests) served += asked.answers[0][0] == '$';
   EXPECT_GE(served, all * 6 / 10);
 }
 
@@ -558,8 +561,8 @@
     list["version"] = ++p.version;
     list["servers"][1][name] = value;
     p.on_list = [&](Conn& conn, const std::string&) { p.http(conn, list.dump()); };
-    for (auto& watch : std::exchange(p.waiting, {})) p.http(*watch, list.dump());
-    p.idle(400);
+    for (auto& watch : std::exchange(p.long_polls, {})) p.http(*watch, list.dump());
+    p.run_for(400);
     EXPECT_EQ(once(false, 1).substr(0, 6), "$value") << name << " " << value;
   }
   std::ifstream status("/proc/" + std::to_string(p.head) + "/statm");
@@ -576,11 +579,11 @@
   while (::write(ends[1], filling.data(), filling.size()) > 0) {
   }
   ASSERT_EQ(::fcntl(ends[1], F_SETFL, 0), 0);  // as a head is handed it: blocking
-  p.log_to = ends[1];
+  p.log_fd = ends[1];
   p.start();
   EXPECT_EQ(once().substr(0, 6), "$value");
   kill(p.head, SIGTERM);
-  EXPECT_EQ(p.ended(5000), 0);
+  EXPECT_EQ(p.wait_for_exit(5000), 0);
   ::close(ends[0]);
   ::close(ends[1]);
 }
@@ -588,15 +591,15 @@
 // The log is a file on a disk that takes nothing, and the configuration comes in pieces.
 TEST_F(Serving, ADiskThatFailsHoldsNothingUp) {
   char name[] = "/tmp/yewmount-log-XXXXXX";
-  p.log_to = ::mkstemp(name);
-  ASSERT_GE(p.log_to, 0);
+  p.log_fd = ::mkstemp(name);
+  ASSERT_GE(p.log_fd, 0);
   p.variables = {"LD_PRELOAD=" SYSCALL_FAULTS, "YEWMOUNT_FAULTS=seed=2,disk=0.5,full=0.9"};
   p.start();
   kill(p.head, SIGHUP);
   for (int i = 0; i < 10; ++i) EXPECT_EQ(once(i % 2 == 1, i % 3).substr(0, 6), "$value");
   kill(p.head, SIGTERM);
-  EXPECT_EQ(p.ended(5000), 0);
-  ::close(p.log_to);
+  EXPECT_EQ(p.wait_for_exit(5000), 0);
+  ::close(p.log_fd);
   ::unlink(name);
 }
 
@@ -613,16 +616,16 @@
   }
   EXPECT_EQ(waited, 0) << "of 30 newcomers";
   kill(p.head, SIGTERM);
-  EXPECT_EQ(p.ended(5000), 0);
+  EXPECT_EQ(p.wait_for_exit(5000), 0);
 }
 
 TEST_F(Serving, ANodeThatDrainsOrGoesGetsNothingNewAndOneThatComesIsUsed) {
   p.start();
-  p.idle(100);
+  p.run_for(100);
   EXPECT_EQ(once(false, 0).substr(0, 6), "$value");
   p.add_node(0);
-  p.change(0, "Terminating");
-  p.idle(100);
+  p.set_node_state(0, "Terminating");
+  p.run_for(100);
   const auto before = p.record.runs.size();  // from now on not one more goes there
   for (int i = 0; i < 10; ++i) EXPECT_EQ(once(i % 2, 0).substr(0, 6), "$value");
   for (std::size_t i = before; i < p.record.runs.size(); ++i) EXPECT_EQ(p.record.runs[i].node, 3);
@@ -651,7 +654,7 @@
             std::stoi(target.substr(target.find("from=") + 5)) < p.version)
           return Platform::http(c, p.entries().dump());
         if (calls < 9) return Platform::http(c, R"({"version":0,"full":true,"servers":[]})");
-        p.waiting.push_back(c.shared_from_this());
+        p.long_polls.push_back(c.shared_from_this());
     }
   };
   p.start();
@@ -659,9 +662,9 @@
   ASSERT_TRUE(p.until([&] { return calls >= 9; }, 6000));
   EXPECT_EQ(once().substr(0, 6), "$value");
   p.add_node(7);
-  p.change(0, "Ready");
-  p.record.told_away.clear();
-  p.idle(300);
+  p.set_node_state(0, "Ready");
+  p.record.draining_since.clear();
+  p.run_for(300);
   EXPECT_EQ(once(false, 7).substr(0, 6), "$value");
 }
 
@@ -673,7 +676,7 @@
     targets.push_back(target);
     const auto from = target.find("from=");
     if (from != std::string::npos && std::stoi(target.substr(from + 5)) >= p.version) {
-      p.waiting.push_back(c.shared_from_this());
+      p.long_polls.push_back(c.shared_from_this());
       return;
     }
     const std::string body = p.entries().dump(3);
@@ -706,8 +709,8 @@
     p.add_node(20 + form);
     ++p.version;
     targets.clear();
-    for (auto& c : std::exchange(p.waiting, {})) p.on_list(*c, "/catalog/members");
-    ASSERT_TRUE(p.until([&] { return !p.waiting.empty(); }, 1000));  // the watch goes on from there
+    for (auto& c : std::exchange(p.long_polls, {})) p.on_list(*c, "/catalog/members");
+    ASSERT_TRUE(p.until([&] { return !p.long_polls.empty(); }, 1000));  // the watch goes on from there
     EXPECT_EQ(once(false, 20 + form).substr(0, 6), "$value");
     EXPECT_EQ(std::count(targets.begin(), targets.end(), "/catalog/members"), 1) << "a call failed";
   }
@@ -717,33 +720,33 @@
 TEST_F(Serving, AListThatIsResetOnTheWayIsNone) {
   p.start();
   int calls = 0;
-  ASSERT_TRUE(p.until([&] { return !p.waiting.empty(); }, 1000));
+  ASSERT_TRUE(p.until([&] { return !p.long_polls.empty(); }, 1000));
   p.on_list = [&](Conn& c, const std::string& target) {
     if (++calls > 1)
       return target.find("from=") == std::string::npos ? Platform::http(c, p.entries().dump())
-                                                       : p.waiting.push_back(c.shared_from_this());
+                                                       : p.long_polls.push_back(c.shared_from_this());
   };
-  auto watch = p.waiting.front();
+  auto watch = p.long_polls.front();
   watch->send("HTTP/1.1 200 OK\r\n\r\n{\"version\":99,\"full\":true,\"servers\":[]}");
-  p.idle(50);  // all of it is there, but not its end
+  p.run_for(50);  // all of it is there, but not its end
   watch->reset();
-  p.idle(300);
+  p.run_for(300);
   EXPECT_EQ(once(false, 0).substr(0, 6), "$value");
 }
 
 // A node begins to drain in the moment in which the watch is reset: nothing new to it after the grace.
 TEST_F(Serving, ADrainThatBeginsAsTheWatchIsResetIsHeardInTime) {
   p.start();
-  ASSERT_TRUE(p.until([&] { return !p.waiting.empty(); }, 1000));
+  ASSERT_TRUE(p.until([&] { return !p.long_polls.empty(); }, 1000));
   p.add_node(0);
   p.states[0] = "Terminating";
   ++p.version;
-  p.record.told_away[0] = Clock::now();
-  for (auto& c : std::exchange(p.waiting, {})) c->reset();
+  p.record.draining_since[0] = Clock::now();
+  for (auto& c : std::exchange(p.long_polls, {})) c->reset();
   const auto from = Clock::now();
   while (ms_since(from) < 1800) {
     EXPECT_EQ(once(false, 0).substr(0, 6), "$value");
-    p.idle(20);
+    p.run_for(20);
   }
   EXPECT_EQ(p.record.runs.back().node, 3);
 }
@@ -777,20 +780,20 @@
 // One silence after another, each where the last one was overcome: told within six seconds all the same.
 TEST_F(Serving, AChangeIsTakenWithinSixSecondsThroughSilenceAfterSilence) {
   p.start();
-  ASSERT_TRUE(p.until([&] { return !p.waiting.empty(); }, 1000));
+  ASSERT_TRUE(p.until([&] { return !p.long_polls.empty(); }, 1000));
   int calls = 0;
   p.on_list = [&](Conn& c, const std::string& target) {
     ++calls;
     if (calls <= 3) return;  // the calls after the first silence: silent as well
     if (target.find("from=") == std::string::npos) return Platform::http(c, p.entries().dump());
   };
-  p.waiting.clear();  // falls silent, and a node begins to drain just then
+  p.long_polls.clear();  // falls silent, and a node begins to drain just then
   p.add_node(0);
   p.states[0] = "Terminating";
   ++p.version;
   const auto from = Clock::now();
   ASSERT_TRUE(p.until([&] { return calls >= 4; }, 6000));
-  p.idle(50);
+  p.run_for(50);
   EXPECT_LT(ms_since(from), 5500);
   for (int i = 0; i < 4; ++i) {
     const std::string id = once(false, 0);
@@ -803,7 +806,7 @@
 TEST_F(Serving, AnOlderCountAtAnotherServiceIsBelievedInTime) {
   p.version = 40;
   p.start();
-  ASSERT_TRUE(p.until([&] { return !p.waiting.empty(); }, 1000));
+  ASSERT_TRUE(p.until([&] { return !p.long_polls.empty(); }, 1000));
   auto old = std::move(p.list);
   p.list = p.serve_list();
   p.config["discovery"] = p.list->address();
@@ -812,8 +815,8 @@
   p.write_config();
   const auto from = Clock::now();
   kill(p.head, SIGHUP);
-  p.waiting.clear();
-  ASSERT_TRUE(p.until([&] { return !p.waiting.empty(); }, 5000));
+  p.long_polls.clear();
+  ASSERT_TRUE(p.until([&] { return !p.long_polls.empty(); }, 5000));
   EXPECT_LT(ms_since(from), 4000);
   EXPECT_EQ(once(false, 9).substr(0, 6), "$value");
 }
@@ -829,7 +832,7 @@
   void answer_later(Conn& c, int ms) {
     auto timer = std::make_shared<asio::steady_timer>(p.io, std::chrono::milliseconds(ms));
     timer->async_wait([this, timer, conn = c.shared_from_this()](auto) {
-      if (!conn->gone) p.http(*conn, p.entries().dump());
+      if (!conn->is_closed) p.http(*conn, p.entries().dump());
     });
   }
 };
@@ -840,20 +843,20 @@
     const auto from = target.find("from=");
     if (from != std::string::npos && std::stoi(target.substr(from + 5)) >= p.version &&
         !target.ends_with("=0"))
-      return p.waiting.push_back(c.shared_from_this());
+      return p.long_polls.push_back(c.shared_from_this());
     answer_later(c, 1200);
   };
   p.start();
-  p.idle(1500);
-  p.waiting.clear();
+  p.run_for(1500);
+  p.long_polls.clear();
   for (auto& c : p.list->conns) c->reset();  // the watch is lost, and with it the change
   p.states[1] = "Terminating";
   ++p.version;
   const auto changed = Clock::now();
   auto c = p.client();
   while (ms_since(changed) < 5500) {
-    p.ask(*c, false, 1, 500);
-    p.idle(100);
+    p.send_request(*c, false, 1, 500);
+    p.run_for(100);
   }
   long last = 0;
   for (const auto& run : p.record.runs)
@@ -889,7 +892,7 @@
   };
   p.start();
   const int before = calls;
-  p.idle(5000);
+  p.run_for(5000);
   EXPECT_GE(calls - before, 2);
   EXPECT_LE(calls - before, 8) << "in 5 s";
 }
@@ -923,8 +926,8 @@
   const auto ask_for = [&](int ms) {
     const auto from = Clock::now();
     for (int i = 0; ms_since(from) < ms; ++i) {
-      p.ask(*clients[static_cast<std::size_t>(i) % clients.size()], false, 0, 1000);
-      p.idle(8);
+      p.send_request(*clients[static_cast<std::size_t>(i) % clients.size()], false, 0, 1000);
+      p.run_for(8);
     }
   };
   ask_for(500);
@@ -932,7 +935,7 @@
   const auto wall = std::chrono::system_clock::now().time_since_epoch();
   p.started_ms[0] = std::chrono::duration_cast<std::chrono::milliseconds>(wall).count() +
                     (by.nodes_too ? by.after * 1000 : 0);
-  p.change(0, "Ready");
+  p.set_node_state(0, "Ready");
   const std::size_t before = p.record.runs.size();
   ask_for(3800);  // what was sent to the former process counts for the rule's time of 3 s
   const std::size_t runs = p.record.runs.size() - before;
@@ -953,9 +956,9 @@
 TEST_F(Serving, SighupMovesToAnotherListAndABadFileLeavesTheOldOneStanding) {
   p.start();
   auto old = std::move(p.list);
-  std::ofstream(p.file) << "{";
+  std::ofstream(p.config_file) << "{";
   kill(p.head, SIGHUP);
-  p.idle(100);
+  p.run_for(100);
   EXPECT_EQ(once().substr(0, 6), "$value");
   p.list = p.serve_list();
   p.config["discovery"] = p.list->address();
@@ -965,7 +968,7 @@
   kill(p.head, SIGHUP);
   for (auto& c : old->conns) c->reset();
   ASSERT_TRUE(p.until([&] { return !p.list->conns.empty(); }, 1000));
-  p.idle(100);
+  p.run_for(100);
   EXPECT_EQ(once(false, 9).substr(0, 6), "$value");
 }
 
@@ -976,24 +979,24 @@
   p.on_command = [&](int, Conn& c, const Words& w) {
     auto timer =
         std::make_shared<asio::steady_timer>(p.io, std::chrono::milliseconds(w[0] == "BLK.READ" ? 20 : 6000));
-    timer->async_wait([&, timer, conn = c.shared_from_this(), w](auto) { p.give(*conn, w); });
+    timer->async_wait([&, timer, conn = c.shared_from_this(), w](auto) { p.send_value(*conn, w); });
   };
   auto kept = p.client(), hung = p.client();
   kill(p.head, SIGTERM);
-  p.idle(300);
+  p.run_for(300);
   ASSERT_TRUE(p.client());
   for (int i = 0; i < 5; ++i) {
-    const std::string id = p.ask(*kept, false, i % 3, 1500);
+    const std::string id = p.send_request(*kept, false, i % 3, 1500);
     EXPECT_TRUE(p.until([&] { return p.answer(id) == "$value-" + id; }, 1500)) << p.answer(id);
-    p.idle(300);
+    p.run_for(300);
   }
-  p.ask(*hung, true, 0, 3000);  // its node takes longer than this head has
+  p.send_request(*hung, true, 0, 3000);  // its node takes longer than this head has
   EXPECT_TRUE(p.until([&] { return kept->closed(); }, 3500));
   EXPECT_GT(ms_since(from), 2000);
-  EXPECT_EQ(p.ended(), 0);
+  EXPECT_EQ(p.wait_for_exit(), 0);
   EXPECT_LT(ms_since(from), 4500);
-  p.idle(50);
-  EXPECT_TRUE(p.answered());
+  p.run_for(50);
+  EXPECT_TRUE(p.all_answered());
 }
 
 // Nodes that let go of idle connections without a word and reset the next command on one: few writes fail.
@@ -1009,12 +1012,12 @@
       return c.reset();
     }
     used[&c] = Clock::now();
-    p.give(c, w);
+    p.send_value(c, w);
   };
   int failed = 0;
   for (int i = 0; i < 24; ++i) {
     failed += once(true, 0)[0] == '-';
-    p.idle(60);
+    p.run_for(60);
   }
   EXPECT_GT(failed, 0);  // it can't be known before
   EXPECT_LE(resets, 5);
@@ -1052,14 +1055,14 @@
            {"{\"name\":\"a\",\"name\":\"b\"}", "stands twice"},
            {std::string(whole).replace(whole.find("\"sockets\":256"), 13, "\"sockets\":0"), "sockets"},
            {std::string(whole).replace(whole.find("\"seed\":\"8c"), 10, "\"seed\":\"?c"), "seed"}}) {
-    std::ofstream(p.file) << text;
-    const std::string command = "RELAY_CONFIG=" + p.file + " " + YEWMOUNTD + " relay 2>&1";
+    std::ofstream(p.config_file) << text;
+    const std::string command = "RELAY_CONFIG=" + p.config_file + " " + YEWMOUNTD + " relay 2>&1";
     FILE* out = popen(command.c_str(), "r");
     std::string said(4096, 0);
     said.resize(fread(said.data(), 1, said.size(), out));
     EXPECT_EQ(WEXITSTATUS(pclose(out)), 2) << why;
     EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
-    EXPECT_NE(said.find(p.file), std::string::npos) << said;
+    EXPECT_NE(said.find(p.config_file), std::string::npos) << said;
     EXPECT_NE(said.find(why), std::string::npos) << said;
   }
 }
@@ -1073,8 +1076,8 @@
   std::vector<std::string> ids;
   for (int i = 0; i < 8; ++i) {
     all.push_back(p.client());
-    ids.push_back(p.ask(*all.back(), true, i % 3, 1500, std::string(60'000, 'b')));
-    p.idle(20);
+    ids.push_back(p.send_request(*all.back(), true, i % 3, 1500, std::string(60'000, 'b')));
+    p.run_for(20);
   }
   EXPECT_EQ(p.answer(ids.back()), "-BUSY");
   EXPECT_EQ(runs(ids.back()), 0);
@@ -1095,9 +1098,9 @@
   p.start();
   p.on_command = [](int, Conn& c, const Words&) { c.reset(); };
   auto c = p.client();
-  p.ask(*c, true);
-  p.until([&] { return p.answered(); });
-  EXPECT_EQ(p.record.breach().substr(0, 6), "rule 2");
+  p.send_request(*c, true);
+  p.until([&] { return p.all_answered(); });
+  EXPECT_EQ(p.record.first_violation().substr(0, 6), "rule 2");
 }
 
 // A short churn: clients that ask once, every kind of trouble at nodes, a node replaced every while.
@@ -1119,24 +1122,24 @@
         break;
     }
     auto timer = std::make_shared<asio::steady_timer>(p.io, std::chrono::milliseconds(chance() % 12));
-    timer->async_wait([&, timer, conn = c.shared_from_this(), w](auto) { p.give(*conn, w); });
+    timer->async_wait([&, timer, conn = c.shared_from_this(), w](auto) { p.send_value(*conn, w); });
   };
   for (int i = 0; i < 500; ++i) {
     if (i % 100 == 50) {
       const int cell = i / 100 % 3;
       for (std::size_t n = 0; n < p.nodes.size(); ++n)
-        if (p.cells[n] == cell && p.states[n] == "Ready") p.change(static_cast<int>(n), "Gone");
+        if (p.cells[n] == cell && p.states[n] == "Ready") p.set_node_state(static_cast<int>(n), "Gone");
       p.add_node(cell);
-      p.change(static_cast<int>(p.nodes.size()) - 1, "Ready");
+      p.set_node_state(static_cast<int>(p.nodes.size()) - 1, "Ready");
     }
     auto c = p.client();
     ASSERT_TRUE(c);
-    p.ask(*c, chance() % 3 == 0, static_cast<int>(chance() % 3), 1500);
-    p.idle(static_cast<int>(chance() % 6));
+    p.send_request(*c, chance() % 3 == 0, static_cast<int>(chance() % 3), 1500);
+    p.run_for(static_cast<int>(chance() % 6));
   }
-  ASSERT_TRUE(p.until([&] { return p.answered(); }));
+  ASSERT_TRUE(p.until([&] { return p.all_answered(); }));
   int values = 0;
-  for (const auto& [id, a] : p.record.asked) values += a.answers[0][0] == '$';
+  for (const auto& [id, a] : p.record.requests) values += a.answers[0][0] == '$';
   EXPECT_GT(values, 250);
 }
 
@@ -1144,22 +1147,22 @@
 TEST(Judge, FindsWhatBreaksTheRules) {
   const auto now = Clock::now();
   Record good;
-  good.asked["a"] = {now, 1000, true, {"$value-a"}, now};
+  good.requests["a"] = {now, 1000, true, {"$value-a"}, now};
   good.runs.push_back({"a", 0, now, true, 900});
-  EXPECT_EQ(good.breach(), "");
+  EXPECT_EQ(good.first_violation(), "");
   Record r = good;
-  r.asked["a"].answers.push_back("-BUSY");
-  EXPECT_NE(r.breach(), "");
-  r = good, r.asked["a"].answers = {"-BUSY"};
-  EXPECT_NE(r.breach(), "");
-  r = good, r.asked["a"].answers = {"$value-b"};
-  EXPECT_NE(r.breach(), "");
+  r.requests["a"].answers.push_back("-BUSY");
+  EXPECT_NE(r.first_violation(), "");
+  r = good, r.requests["a"].answers = {"-BUSY"};
+  EXPECT_NE(r.first_violation(), "");
+  r = good, r.requests["a"].answers = {"$value-b"};
+  EXPECT_NE(r.first_violation(), "");
   r = good, r.runs.push_back({"a", 1, now, false, 900});
-  EXPECT_NE(r.breach(), "");
-  r = good, r.asked["a"].answered = now + std::chrono::seconds(3);
-  EXPECT_NE(r.breach(), "");
-  r = good, r.told_away[0] = now - std::chrono::seconds(5);
-  EXPECT_NE(r.breach(), "");
+  EXPECT_NE(r.first_violation(), "");
+  r = good, r.requests["a"].answered_at = now + std::chrono::seconds(3);
+  EXPECT_NE(r.first_violation(), "");
+  r = good, r.draining_since[0] = now - std::chrono::seconds(5);
+  EXPECT_NE(r.first_violation(), "");
 }
 
 }  // namespace
--- a/tests/support/peer.h
+++ b/tests/support/peer.h
@@ -1,5 +1,5 @@
-// A scripted peer for tests: takes connections on loopback in a thread-less way, on the test's own
-// io_context, and does to each what the test says, byte by byte.
+// A scripted node for tests. Accepts connections on loopback on the test's own io_context, without a thread,
+// and gives the test control of every byte sent.
 #pragma once
 #include <asio.hpp>
 #include <deque>
@@ -23,16 +23,17 @@
   struct Conn {
     asio::ip::tcp::socket socket;
     std::string in;
-    bool eof = false, reading = true;
-    std::array<char, 65536> part;
+    bool eof = false;
+    bool reading = true;
+    std::array<char, 65536> buffer;
     wire::Inbox inbox;
-    std::deque<std::string> submits;  // whole frames' ids seen
-    std::string_view data;            // of the submit that is being told
+    std::deque<std::string> submits;  // ids of the complete frames received
+    std::string_view data;            // payload of the submit passed to on_submit
     std::vector<wire::Submit> seen;
-    std::deque<std::string> names;  // keeps the texts of `seen`
+    std::deque<std::string> names;  // owns the strings that `seen` refers to
     void send(std::string_view bytes) {
-      std::error_code gone;  // the other side may have closed
-      asio::write(socket, asio::buffer(bytes.data(), bytes.size()), gone);
+      std::error_code ignored;  // the other side may have closed
+      asio::write(socket, asio::buffer(bytes.data(), bytes.size()), ignored);
     }
     void hello(const std::string& name, std::uint64_t start = 1) {
       std::string out;
@@ -43,7 +44,9 @@
                 std::vector<std::uint64_t> sums = {}) {
       std::string out;
       wire::Answer a;
-      a.id = id, a.no = no, a.outcome = o;
+      a.id = id;
+      a.no = no;
+      a.outcome = o;
       a.sums = std::move(sums);
       wire::put(out, a, data);
       send(out);
@@ -54,7 +57,7 @@
     }
   };
   std::vector<std::shared_ptr<Conn>> conns;
-  bool reads = true;                      // whether new connections are read from
+  bool reads = true;                      // whether to read from new connections
   std::function<void(Conn&)> on_connect;  // before anything is read
   std::function<void(Conn&, const wire::Submit&)> on_submit;
 
@@ -72,13 +75,13 @@
     });
   }
   void read(std::shared_ptr<Conn> c) {
-    c->socket.async_read_some(asio::buffer(c->part), [this, c](std::error_code error, std::size_t n) {
+    c->socket.async_read_some(asio::buffer(c->buffer), [this, c](std::error_code error, std::size_t n) {
       if (error) {
         c->eof = true;
         return;
       }
       const auto room = c->inbox.room(n);
-      std::copy_n(c->part.data(), n, room.data());
+      std::copy_n(c->buffer.data(), n, room.data());
       c->inbox.came(n);
       wire::Frame f;
       while (c->socket.is_open() && c->inbox.next(f)) {
@@ -95,7 +98,7 @@
   asio::ip::tcp::acceptor acceptor_;
 };
 
-// Runs the loop until the condition holds; false where it does not within the time.
+// Runs the event loop until the condition holds. Returns false if it does not within `ms` milliseconds.
 template <class Done, class Turn>
 bool run_until(asio::io_context& io, Done done, Turn turn, int ms = 3000) {
   const std::int64_t until = monotonic_now() + ms * 1000;
--- a/tests/support/resp_text.h
+++ b/tests/support/resp_text.h
@@ -1,4 +1,4 @@
-// RESP2 as text for tests, read by other means than the head's own: whole words off the front of what came.
+// RESP2 encoding and decoding for tests, independent of the head's own parser.
 #pragma once
 #include <optional>
 #include <stdexcept>
@@ -9,37 +9,40 @@
 
 using Words = std::vector<std::string>;
 
+// Encodes the words as an array of bulk strings.
 inline std::string array_of(const Words& words) {
   std::string out = "*" + std::to_string(words.size()) + "\r\n";
   for (const auto& w : words) out += "$" + std::to_string(w.size()) + "\r\n" + w + "\r\n";
   return out;
 }
 
-// One array of bulk strings off the front of `in`, once it is there.
+// Removes one array of bulk strings from the front of `in` and returns it; empty while it is incomplete.
+// Throws std::runtime_error where the bytes are not RESP.
 inline std::optional<Words> next_words(std::string& in) {
-  std::size_t at = 0;
+  std::size_t position = 0;
   const auto line = [&](char kind) -> std::optional<int> {
-    const auto end = in.find("\r\n", at);
+    const auto end = in.find("\r\n", position);
     if (end == std::string::npos) return {};
-    if (in.at(at) != kind) throw std::runtime_error("not RESP: " + in.substr(at, 40));
-    const int n = std::stoi(in.substr(at + 1, end - at - 1));
-    at = end + 2;
-    return n;
+    if (in.at(position) != kind) throw std::runtime_error("not RESP: " + in.substr(position, 40));
+    const int number = std::stoi(in.substr(position + 1, end - position - 1));
+    position = end + 2;
+    return number;
   };
   const auto count = line('*');
   if (!count) return {};
   Words words;
   for (int i = 0; i < *count; ++i) {
     const auto size = line('$');
-    if (!size || in.size() < at + *size + 2) return {};
-    words.push_back(in.substr(at, *size));
-    at += *size + 2;
+    if (!size || in.size() < position + *size + 2) return {};
+    words.push_back(in.substr(position, *size));
+    position += *size + 2;
   }
-  in.erase(0, at);
+  in.erase(0, position);
   return words;
 }
 
-// One answer off the front of what a client got: "$value", "-line" or "+line".
+// Removes one answer from the front of `in` and returns it as "$value", "-line" or "+line"; empty while it is
+// incomplete.
 inline std::optional<std::string> next_answer(std::string& in) {
   const auto end = in.find("\r\n");
   if (end == std::string::npos) return {};
