--- a/tests/variant/variant_test.sh
+++ b/tests/variant/variant_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# tools/variant on a tiny base of the test's own, in a copy of the folders it needs.
+# Tests tools/variant on a small base site, in a temporary copy of the folders that it needs.
 set -u
 top=$(cd "$(dirname "$0")/../.." && pwd)
 work=$(mktemp -d)
@@ -35,29 +35,29 @@
 echo '{"base": "tiny", "differs": {"load.loud": 1}}' > "$work/repo/deploy/sites/absent.json"
 echo '{"base": "tiny"' > "$work/repo/deploy/sites/broken.json"
 failed=0
-is() { [ "$2" = "$3" ] || { echo "$1: wanted '$2', got '$3'"; failed=1; }; }
-refused() {  # WHAT WORDS...: one line that holds WHAT, exit code 2
-  local what=$1 said code
+expect_equal() { [ "$2" = "$3" ] || { echo "$1: expected '$2', got '$3'"; failed=1; }; }
+expect_error() {  # MESSAGE ARGUMENTS...: one line on standard error that contains MESSAGE, and exit code 2
+  local message=$1 output code
   shift
-  said=$("$work/repo/tools/variant" "$@" 2>&1 >/dev/null)
+  output=$("$work/repo/tools/variant" "$@" 2>&1 >/dev/null)
   code=$?
-  is "$* exit" 2 $code
-  is "$* lines" 1 "$(printf '%s\n' "$said" | wc -l)"
-  case $said in *"$what"*) ;; *) echo "$*: '$said' without '$what'"; failed=1 ;; esac
+  expect_equal "$* exit" 2 $code
+  expect_equal "$* lines" 1 "$(printf '%s\n' "$output" | wc -l)"
+  case $output in *"$message"*) ;; *) echo "$*: '$output' does not contain '$message'"; failed=1 ;; esac
 }
-is "made" deploy/sites/other/other.toml "$("$work/repo/tools/variant" other --base "$work/base")"
-made="$work/repo/deploy/sites/other"
-is "what differs" 'name = "other"|quiet = [0.1, 0.2]|name = "second"|share = 0.75|size = 3' \
-  "$(diff "$work/base/tiny.toml" "$made/other.toml" | sed -n 's/^> //p' | paste -sd'|')"
-for f in real.json wire.json unlock.txt; do is "$f" "of the base: $f" "$(cat "$made/$f")"; done
-refused "no such variant" elsewhere --base "$work/base"
-refused "no such variant" ../other --base "$work/base"
-refused "class[three].share" amiss --base "$work/base"
-refused "load.loud" absent --base "$work/base"
-refused "broken.json" broken --base "$work/base"
-refused "tiny.toml: missing" other --base "$work/nowhere"
-refused "tiny.toml: missing" other
+expect_equal "made" deploy/sites/other/other.toml "$("$work/repo/tools/variant" other --base "$work/base")"
+variant="$work/repo/deploy/sites/other"
+expect_equal "what differs" 'name = "other"|quiet = [0.1, 0.2]|name = "second"|share = 0.75|size = 3' \
+  "$(diff "$work/base/tiny.toml" "$variant/other.toml" | sed -n 's/^> //p' | paste -sd'|')"
+for f in real.json wire.json unlock.txt; do expect_equal "$f" "of the base: $f" "$(cat "$variant/$f")"; done
+expect_error "no such variant" elsewhere --base "$work/base"
+expect_error "no such variant" ../other --base "$work/base"
+expect_error "class[three].share" amiss --base "$work/base"
+expect_error "load.loud" absent --base "$work/base"
+expect_error "broken.json" broken --base "$work/base"
+expect_error "tiny.toml: missing" other --base "$work/nowhere"
+expect_error "tiny.toml: missing" other
 rm "$work/base/wire.json"
-refused "wire.json: missing" other --base "$work/base"
-refused "usage"
+expect_error "wire.json: missing" other --base "$work/base"
+expect_error "usage"
 exit $failed
