--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -21,7 +21,7 @@
 yewmount_package(base SOURCES src/base/base.cpp USES spdlog::spdlog nlohmann_json::nlohmann_json)
 yewmount_package(wire SOURCES src/wire/wire.cpp)
 yewmount_package(background SOURCES src/background/background.cpp)
-yewmount_package(sums SOURCES src/sums/sums.cpp USES yewmount_wire)
+yewmount_package(sums SOURCES src/checksums/checksums.cpp USES yewmount_wire)
 yewmount_package(net SOURCES src/net/stream.cpp src/net/link.cpp src/net/listener.cpp
                  USES yewmount_wire yewmount_base Threads::Threads)
 yewmount_package(settings SOURCES src/settings/checked.cpp src/settings/head.cpp ${schemas}
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -39,7 +39,7 @@
 yewmount_test(list SOURCES tests/list/follower_test.cpp USES yewmount_list)
 yewmount_test(solver SOURCES tests/solver/small_test.cpp tests/solver/large_test.cpp USES yewmount_planning yewmount_judge)
 yewmount_test(background SOURCES tests/background/background_test.cpp USES yewmount_background)
-yewmount_test(sums SOURCES tests/sums/sums_test.cpp USES yewmount_sums)
+yewmount_test(sums SOURCES tests/checksums/checksums_test.cpp USES yewmount_sums)
 yewmount_test(plans SOURCES tests/plans/plan_test.cpp tests/plans/random_test.cpp USES yewmount_planning yewmount_judge)
 add_test(NAME plan_command_line COMMAND ${CMAKE_SOURCE_DIR}/tests/plans/command_line.sh ${CMAKE_BINARY_DIR}/bin)
 
--- a/src/catalogue/client.cpp
+++ b/src/catalogue/client.cpp
@@ -5,119 +5,123 @@
 namespace yewmount::catalogue {
 namespace {
 
-constexpr auto kAgain = std::chrono::milliseconds(100);  // between two connects to a catalogue that is away
+constexpr auto kReconnectDelay = std::chrono::milliseconds(100);
 
 }  // namespace
 
-Client::Client(asio::io_context& io, ClientProvision given) : io_(io), given_(std::move(given)), again_(io) {
+Client::Client(asio::io_context& io, ClientOptions options)
+    : io_(io), options_(std::move(options)), reconnect_timer_(io) {
   connect();
 }
 
 Client::~Client() {
-  *alive_ = false;
+  *is_alive_ = false;
   if (link_) link_->close();
 }
 
 void Client::connect() {
-  if (connecting_ || link_) return;
-  connecting_ = true;
+  if (is_connecting_ || link_) return;
+  is_connecting_ = true;
   auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
-  const asio::ip::tcp::endpoint at(net::loopback(given_.address), given_.port);
-  socket->async_connect(at, [this, socket, alive = alive_](std::error_code error) {
-    if (!*alive) return;
-    connecting_ = false;
+  const asio::ip::tcp::endpoint endpoint(net::loopback(options_.address), options_.port);
+  socket->async_connect(endpoint, [this, socket, is_alive = is_alive_](std::error_code error) {
+    if (!*is_alive) return;
+    is_connecting_ = false;
     if (!error) {
       link_ = std::make_shared<net::Link>(std::move(*socket), *this);
-      wire::put(link_->out(), wire::Hello{wire::Role::head, given_.head_name, -1, 0});
+      wire::put(link_->out(), wire::Hello{wire::Role::head, options_.head_name, -1, 0});
       link_->start();
       link_->flush();
       return;
     }
-    again_.expires_after(kAgain);
-    again_.async_wait([this, alive](std::error_code stopped) {
-      if (!stopped && *alive) connect();
+    reconnect_timer_.expires_after(kReconnectDelay);
+    reconnect_timer_.async_wait([this, is_alive](std::error_code canceled) {
+      if (!canceled && *is_alive) connect();
     });
   });
 }
 
-const wire::Object* Client::kept(std::string_view volume, std::string_view name, std::int64_t now) {
-  key_.assign(volume);
-  key_ += '\0';
-  key_ += name;
-  const auto it = kept_.find(key_);
-  return it != kept_.end() && now < it->second.until ? &it->second.object : nullptr;
+const wire::Object* Client::cached(std::string_view volume, std::string_view name, std::int64_t now) {
+  cache_key_.assign(volume);
+  cache_key_ += '\0';
+  cache_key_ += name;
+  const auto it = cache_.find(cache_key_);
+  return it != cache_.end() && now < it->second.expires_at ? &it->second.object : nullptr;
 }
 
-void Client::keep(const std::string& volume, const std::string& name, const wire::Object& object) {
-  if (given_.keep <= 0 || given_.keep_most == 0) return;
+void Client::add_to_cache(const std::string& volume, const std::string& name, const wire::Object& object) {
+  if (options_.cache_lifetime_us <= 0 || options_.max_cached_objects == 0) return;
   std::string key = volume;
   key += '\0';
   key += name;
-  const auto [it, fresh] = kept_.insert_or_assign(key, Kept{object, monotonic_now() + given_.keep});
-  if (!fresh) return;
-  kept_order_.push_back(std::move(key));
-  while (kept_order_.size() > given_.keep_most) {
-    kept_.erase(kept_order_.front());
-    kept_order_.pop_front();
+  const auto [it, inserted] =
+      cache_.insert_or_assign(key, CacheEntry{object, monotonic_now() + options_.cache_lifetime_us});
+  if (!inserted) return;
+  cache_order_.push_back(std::move(key));
+  while (cache_order_.size() > options_.max_cached_objects) {
+    cache_.erase(cache_order_.front());
+    cache_order_.pop_front();
   }
 }
 
 void Client::send(Call& call) {
-  if (!greeted_) return;
+  if (!is_ready_) return;
   link_->out() += call.frame;
-  call.sent = true;
-  call.ends = link_->appended();
+  call.is_sent = true;
+  call.end_offset = link_->appended();
 }
 
-void Client::look(std::string_view volume, std::string_view name, std::int64_t until, Then then) {
-  const std::uint64_t number = ++last_;
-  Call& call = calls_[number];
-  call.until = until;
-  call.volume = volume, call.name = name;
-  call.then = std::move(then);
-  wire::put(call.frame, wire::Look{number, volume, name});
+void Client::find(std::string_view volume, std::string_view name, std::int64_t deadline, Callback callback) {
+  const std::uint64_t call_id = ++last_call_id_;
+  Call& call = calls_[call_id];
+  call.deadline = deadline;
+  call.volume = volume;
+  call.name = name;
+  call.callback = std::move(callback);
+  wire::put(call.frame, wire::Look{call_id, volume, name});
   send(call);
 }
 
-void Client::walk(std::string_view after_volume, std::string_view after_name, int most, std::int64_t until,
-                  Then then) {
-  const std::uint64_t number = ++last_;
-  Call& call = calls_[number];
-  call.until = until;
-  call.then = std::move(then);
-  wire::put(call.frame, wire::Walk{number, after_volume, after_name, most});
+void Client::scan(std::string_view after_volume, std::string_view after_name, int limit,
+                  std::int64_t deadline, Callback callback) {
+  const std::uint64_t call_id = ++last_call_id_;
+  Call& call = calls_[call_id];
+  call.deadline = deadline;
+  call.callback = std::move(callback);
+  wire::put(call.frame, wire::Walk{call_id, after_volume, after_name, limit});
   send(call);
 }
 
-void Client::alter(wire::Alter change, std::int64_t until, Then then) {
-  const std::uint64_t number = ++last_;
-  Call& call = calls_[number];
-  call.change = true;
-  call.until = until;
-  call.volume = change.volume, call.name = change.name;
-  call.then = std::move(then);
-  change.call = number;
+void Client::change(wire::Alter change, std::int64_t deadline, Callback callback) {
+  const std::uint64_t call_id = ++last_call_id_;
+  Call& call = calls_[call_id];
+  call.is_change = true;
+  call.deadline = deadline;
+  call.volume = change.volume;
+  call.name = change.name;
+  call.callback = std::move(callback);
+  change.call = call_id;
   wire::put(call.frame, change);
   send(call);
 }
 
-void Client::end(std::uint64_t number, Result&& result) {
-  const auto it = calls_.find(number);
+void Client::complete(std::uint64_t call_id, Result&& result) {
+  const auto it = calls_.find(call_id);
   if (it == calls_.end()) return;
   Call call = std::move(it->second);
   calls_.erase(it);
-  call.then(std::move(result));
+  call.callback(std::move(result));
 }
 
 void Client::expire(std::int64_t now) {
   std::vector<std::pair<std::uint64_t, Result>> due;
-  for (const auto& [number, call] : calls_)
-    if (now >= call.until) {
-      Result r;
-      r.fate = call.sent ? Fate::unknown : Fate::unreachable;
-      due.emplace_back(number, r);
+  for (const auto& [call_id, call] : calls_)
+    if (now >= call.deadline) {
+      Result result;
+      result.status = call.is_sent ? Status::unknown : Status::unreachable;
+      due.emplace_back(call_id, result);
     }
-  for (auto& [number, result] : due) end(number, std::move(result));
+  for (auto& [call_id, result] : due) complete(call_id, std::move(result));
 }
 
 void Client::flush() {
@@ -131,70 +135,71 @@
       wire::Hello hello;
       wire::get(frame, hello);
       if (hello.role != wire::Role::catalogue) throw wire::Malformed("no catalogue answers here");
-      greeted_ = true;
-      // Looks may be asked again; a change that was handed over on an earlier link never is.
-      for (auto& [number, call] : calls_)
-        if (!call.sent) send(call);
+      is_ready_ = true;
+      // Lookups may be repeated; a change that was sent on an earlier connection is never sent again.
+      for (auto& [call_id, call] : calls_)
+        if (!call.is_sent) send(call);
       return;
     }
     case wire::Type::found: {
       wire::Found found;
       wire::get(frame, found);
-      result.fate = found.there ? Fate::done : Fate::absent;
-      result.now = std::move(found.object);
+      result.status = found.there ? Status::done : Status::absent;
+      result.current = std::move(found.object);
       if (const auto it = calls_.find(found.call); it != calls_.end() && found.there)
-        keep(it->second.volume, it->second.name, result.now);
-      return end(found.call, std::move(result));
+        add_to_cache(it->second.volume, it->second.name, result.current);
+      return complete(found.call, std::move(result));
     }
     case wire::Type::walked: {
       wire::Walked walked;
       wire::get(frame, walked);
-      result.fate = Fate::done;
-      result.end = walked.end;
+      result.status = Status::done;
+      result.at_end = walked.end;
       result.entries = std::move(walked.entries);
-      return end(walked.call, std::move(result));
+      return complete(walked.call, std::move(result));
     }
     case wire::Type::changed: {
       wire::Altered altered;
       wire::get(frame, altered);
-      static constexpr Fate fates[] = {Fate::done, Fate::conflict, Fate::absent, Fate::unwritable};
-      result.fate = fates[static_cast<int>(altered.changed)];
-      result.now = std::move(altered.now);
-      result.before = std::move(altered.before);
+      static constexpr Status kStatuses[] = {Status::done, Status::conflict, Status::absent,
+                                             Status::unwritable};
+      result.status = kStatuses[static_cast<int>(altered.changed)];
+      result.current = std::move(altered.now);
+      result.previous = std::move(altered.before);
       if (const auto it = calls_.find(altered.call); it != calls_.end()) {
-        if (result.fate == Fate::done && result.now.stamp > 0)
-          keep(it->second.volume, it->second.name, result.now);
-        else if (!it->second.name.empty() && kept(it->second.volume, it->second.name, 0))
-          kept_[key_].until = 0;
+        if (result.status == Status::done && result.current.stamp > 0)
+          add_to_cache(it->second.volume, it->second.name, result.current);
+        else if (!it->second.name.empty() && cached(it->second.volume, it->second.name, 0))
+          cache_[cache_key_].expires_at = 0;
       }
-      return end(altered.call, std::move(result));
+      return complete(altered.call, std::move(result));
     }
     default:
       throw wire::Malformed("a head takes no frame of this type from a catalogue");
   }
 }
 
-void Client::on_closed(net::Link& link, const std::string& why) {
-  logs::warn("catalogue lost", {{"why", why}});
-  const std::uint64_t handed = link.handed();
-  greeted_ = false;
+void Client::on_closed(net::Link& link, const std::string& reason) {
+  logs::warn("catalogue lost", {{"why", reason}});
+  const std::uint64_t bytes_sent = link.handed();
+  is_ready_ = false;
   link_.reset();
-  std::vector<std::uint64_t> unknown;
-  for (auto& [number, call] : calls_) {
-    if (!call.sent) continue;
-    if (call.change && call.ends <= handed)
-      unknown.push_back(number);
+  std::vector<std::uint64_t> unanswered;
+  for (auto& [call_id, call] : calls_) {
+    if (!call.is_sent) continue;
+    if (call.is_change && call.end_offset <= bytes_sent)
+      unanswered.push_back(call_id);
     else
-      call.sent = false;  // a look, or a change whose last byte never left
+      call.is_sent = false;  // a lookup, or a change that was not sent completely
   }
-  for (std::uint64_t number : unknown) {
-    Result r;
-    r.fate = Fate::unknown;
-    end(number, std::move(r));
+  for (std::uint64_t call_id : unanswered) {
+    Result result;
+    result.status = Status::unknown;
+    complete(call_id, std::move(result));
   }
-  again_.expires_after(kAgain);
-  again_.async_wait([this, alive = alive_](std::error_code stopped) {
-    if (!stopped && *alive) connect();
+  reconnect_timer_.expires_after(kReconnectDelay);
+  reconnect_timer_.async_wait([this, is_alive = is_alive_](std::error_code canceled) {
+    if (!canceled && *is_alive) connect();
   });
 }
 
--- a/src/catalogue/server.cpp
+++ b/src/catalogue/server.cpp
@@ -7,15 +7,17 @@
 namespace yewmount::catalogue {
 namespace {
 
-constexpr int kMostWalked = 200;  // objects of one answer: a frame and a turn have their lengths
+constexpr int kMaxObjectsPerPage = 200;  // bounds the size of a frame and the time to build it
 
 }  // namespace
 
 Server::Server(asio::io_context& io, Store& store, const std::string& address, std::uint16_t port)
-    : store_(store), start_(fresh_number()), listener_(io, address, port, [this](asio::ip::tcp::socket s) {
-        auto link = std::make_shared<net::Link>(std::move(s), *this);
+    : store_(store),
+      instance_id_(fresh_number()),
+      listener_(io, address, port, [this](asio::ip::tcp::socket socket) {
+        auto link = std::make_shared<net::Link>(std::move(socket), *this);
         links_.push_back(link);
-        wire::put(link->out(), wire::Hello{wire::Role::catalogue, "catalogue", -1, start_});
+        wire::put(link->out(), wire::Hello{wire::Role::catalogue, "catalogue", -1, instance_id_});
         link->start();
       }) {}
 
@@ -31,7 +33,7 @@
       wire::get(frame, look);
       wire::Found found;
       found.call = look.call;
-      found.there = store_.look(look.volume, look.object, found.object);
+      found.there = store_.find(look.volume, look.object, found.object);
       wire::put(link.out(), found);
       return;
     }
@@ -40,15 +42,16 @@
       wire::get(frame, walk);
       wire::Walked walked;
       walked.call = walk.call;
-      walked.end = store_.walk(walk.volume, walk.object, std::min(walk.most, kMostWalked), walked.entries);
+      walked.end =
+          store_.scan(walk.volume, walk.object, std::min(walk.most, kMaxObjectsPerPage), walked.entries);
       wire::put(link.out(), walked);
       return;
     }
     case wire::Type::change: {
       wire::Alter change;
       wire::get(frame, change);
-      store_.gather(change);
-      waiting_.push_back({std::static_pointer_cast<net::Link>(link.shared_from_this()), change.call});
+      store_.enqueue(change);
+      pending_replies_.push_back({std::static_pointer_cast<net::Link>(link.shared_from_this()), change.call});
       return;
     }
     default:
@@ -56,21 +59,21 @@
   }
 }
 
-void Server::on_closed(net::Link& link, const std::string& why) {
-  logs::debug("link closed", {{"why", why}});
-  links_.remove_if([&](const auto& l) { return l.get() == &link; });
+void Server::on_closed(net::Link& link, const std::string& reason) {
+  logs::debug("link closed", {{"why", reason}});
+  links_.remove_if([&](const auto& other) { return other.get() == &link; });
 }
 
-void Server::turn_over() {
-  if (store_.gathered() > 0) {
-    std::string why;
-    const std::vector<Outcome> outcomes = store_.commit(why);
-    if (!why.empty()) logs::error("nothing written", {{"why", why}, {"changes", outcomes.size()}});
-    for (std::size_t i = 0; i < outcomes.size(); ++i)
-      if (const auto link = waiting_[i].link.lock(); link && link->open())
-        wire::put(link->out(),
-                  wire::Altered{waiting_[i].call, outcomes[i].changed, outcomes[i].now, outcomes[i].before});
-    waiting_.clear();
+void Server::commit_and_flush() {
+  if (store_.pending_count() > 0) {
+    std::string error;
+    const std::vector<ChangeResult> results = store_.commit(error);
+    if (!error.empty()) logs::error("nothing written", {{"why", error}, {"changes", results.size()}});
+    for (std::size_t i = 0; i < results.size(); ++i)
+      if (const auto link = pending_replies_[i].link.lock(); link && link->open())
+        wire::put(link->out(), wire::Altered{pending_replies_[i].call_id, results[i].status,
+                                             results[i].current, results[i].previous});
+    pending_replies_.clear();
   }
   for (const auto& link : links_) link->flush();
 }
--- a/src/catalogue/server.h
+++ b/src/catalogue/server.h
@@ -1,5 +1,5 @@
-// The catalogue as a service for all heads: looks are answered from the last commit, changes of one turn of
-// the loop are made durable together and told only then.
+// Serves the catalogue to all heads. Lookups read the last commit. Changes received in one iteration of the
+// event loop are committed together and answered once they are durable.
 #pragma once
 #include <asio.hpp>
 #include <list>
@@ -18,20 +18,22 @@
     for (const auto& link : links_) link->close();
   }
   std::uint16_t port() const { return listener_.port(); }
-  void turn_over();  // once after the handlers of a turn: commits, answers, flushes
+  // Commits the pending changes, answers them and flushes all links. To be called once after the handlers of
+  // each iteration of the event loop.
+  void commit_and_flush();
 
   void on_frame(net::Link& link, const wire::Frame& frame) override;
-  void on_closed(net::Link& link, const std::string& why) override;
+  void on_closed(net::Link& link, const std::string& reason) override;
 
  private:
-  struct Waiting {
+  struct PendingReply {
     std::weak_ptr<net::Link> link;
-    std::uint64_t call;
+    std::uint64_t call_id;
   };
   Store& store_;
-  std::uint64_t start_;
+  std::uint64_t instance_id_;
   std::list<std::shared_ptr<net::Link>> links_;
-  std::vector<Waiting> waiting_;
+  std::vector<PendingReply> pending_replies_;  // in the order of the store's pending changes
   net::Listener listener_;
 };
 
--- a/src/catalogue/store.h
+++ b/src/catalogue/store.h
@@ -1,5 +1,6 @@
-// Where extents live, on disk (LMDB): objects by volume and name, and the extents that no object names any
-// more but nodes still hold. Changes are gathered and made durable together; none is told before it is.
+// Persistent object metadata (LMDB). Maps a volume and object name to the extents that hold the data, and
+// records the extents that no object references any more but that storage nodes still hold. Changes are
+// batched: each batch is one transaction, and its results are returned only once it is durable.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -11,54 +12,66 @@
 
 namespace yewmount::catalogue {
 
-struct Outcome {
-  wire::Changed changed = wire::Changed::done;
-  wire::Object now, before;
+// The result of one change. `current` is the object after a put, `previous` the one it replaced or dropped.
+struct ChangeResult {
+  wire::Changed status = wire::Changed::done;
+  wire::Object current;
+  wire::Object previous;
 };
 
 class Store {
  public:
-  // Throws std::runtime_error with one line. most_bytes: what the file may grow to.
-  Store(const std::string& folder, std::size_t most_bytes);
+  // Opens or creates the database in `directory`. max_bytes limits the size of the database file. Throws
+  // std::runtime_error with a one-line message.
+  Store(const std::string& directory, std::size_t max_bytes);
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
 
-  bool look(std::string_view volume, std::string_view name, wire::Object& object) const;
+  // Reads an object as of the last commit. Returns false if it does not exist.
+  bool find(std::string_view volume, std::string_view name, wire::Object& object) const;
 
-  // All or none of what one commit() makes durable is found after a crash. Within it changes apply in order.
-  void gather(const wire::Alter& change);
-  std::size_t gathered() const { return changes_.size(); }
-  // One outcome for each gathered change; all unwritable where the disk did not take them.
-  std::vector<Outcome> commit(std::string& why);
+  // Adds a change to the next commit. Changes of one commit apply in order, and after a crash either all or
+  // none of them are present.
+  void enqueue(const wire::Alter& change);
+  std::size_t pending_count() const { return pending_changes_.size(); }
+  // Writes all pending changes in one transaction and returns one result for each. If the transaction fails,
+  // every result is `unwritable` and `error` holds the reason; otherwise `error` is empty.
+  std::vector<ChangeResult> commit(std::string& error);
 
-  // The objects after one in the order of their keys, so many at most; true: there are no more. Both empty:
-  // from the first.
-  bool walk(std::string_view volume, std::string_view name, int most,
-            std::vector<wire::Walked::Entry>& out) const;
-  struct Freed {
+  // Appends up to `limit` objects that follow the given one in key order; an empty volume and name start at
+  // the first object. Returns true if no objects remain after these.
+  bool scan(std::string_view volume, std::string_view name, int limit,
+            std::vector<wire::Walked::Entry>& entries) const;
+  // An extent that no object references but that a node still holds.
+  struct FreedExtent {
     wire::ExtentId extent;
     int shard;
     std::uint32_t length;
   };
-  std::vector<Freed> freed(std::size_t most) const;
-  struct Size {
-    std::uint64_t objects, redirects, freed;
+  // Returns up to `limit` freed extents.
+  std::vector<FreedExtent> freed_extents(std::size_t limit) const;
+  struct Statistics {
+    std::uint64_t objects;
+    std::uint64_t redirects;  // extents stored on another shard than their hash selects
+    std::uint64_t freed_extents;
   };
-  Size size() const;  // walks all objects
+  // Counts by reading every object.
+  Statistics statistics() const;
 
  private:
-  struct Change {
-    wire::Change what;
+  struct PendingChange {
+    wire::Change kind;
     wire::Condition condition;
     std::uint64_t stamp;
-    std::string volume, name;
+    std::string volume;
+    std::string name;
     wire::Object object;
   };
-  struct Disk;
-  Outcome apply(Disk& disk, void* txn, Change& change);
-  std::unique_ptr<Disk> disk_;
-  std::vector<Change> changes_;
+  struct Database;
+  ChangeResult apply(Database& database, void* transaction_handle, PendingChange& change);
+  std::unique_ptr<Database> database_;
+  std::vector<PendingChange> pending_changes_;
 };
 
 }  // namespace yewmount::catalogue
--- a/src/head/daemon.cpp
+++ b/src/head/daemon.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 
 #include "base/base.h"
+#include "checksums/checksums.h"
 #include "settings/checked.h"
-#include "sums/sums.h"
 
 namespace yewmount::head {
 namespace {
@@ -285,8 +285,8 @@
 // data. What was read wrong counts as an error of its node and may be read again.
 void Daemon::check_sums(Work& w, carrier::Ended& ended) {
   if (w.kind != wire::Kind::read || ended.missing || w.sum == 0) return;
-  const std::string_view why =
-      sums::fault(w.extent, w.extent_length, w.sum, {w.offset, w.length}, ended.data, ended.sums);
+  const std::string_view why = checksums::find_mismatch(w.extent, w.extent_length, w.sum,
+                                                        {w.offset, w.length}, ended.data, ended.sums);
   if (why.empty()) return;
   ++w.damaged;
   ++counts_.damaged;
@@ -519,14 +519,14 @@
       alter.volume = ask.volume, alter.name = ask.object;
       alter.condition = ask.if_stamp ? wire::Condition::stamp : wire::Condition::none;
       alter.stamp = ask.if_stamp;
-      return catalogue_.alter(alter, e.answer_by, then(at, &Daemon::dropped));
+      return catalogue_.change(alter, e.answer_by, then(at, &Daemon::dropped));
     }
     default:
-      if (const wire::Object* known = catalogue_.kept(ask.volume, ask.object, now)) {
+      if (const wire::Object* known = catalogue_.cached(ask.volume, ask.object, now)) {
         e.object = *known;
         return begin_read(at);
       }
-      return catalogue_.look(ask.volume, ask.object, e.answer_by, then(at, &Daemon::looked_up));
+      return catalogue_.find(ask.volume, ask.object, e.answer_by, then(at, &Daemon::looked_up));
   }
 }
 
@@ -556,16 +556,16 @@
 
 void Daemon::looked_up(int at, catalogue::Result&& result) {
   Exchange& e = exchanges_[at];
-  if (result.fate == catalogue::Fate::absent) {
+  if (result.status == catalogue::Status::absent) {
     answer_plain(e, 404, "no such object");
     return over(at);
   }
-  if (result.fate != catalogue::Fate::done) {
+  if (result.status != catalogue::Status::done) {
     ++counts_.catalogue_failed;
     answer_failed(e, "the catalogue did not answer in time");
     return over(at);
   }
-  e.object = std::move(result.now);
+  e.object = std::move(result.current);
   begin_read(at);
 }
 
@@ -623,7 +623,8 @@
   const wire::Placed& p = e.object.extents[e.at];
   const auto offset = static_cast<std::uint32_t>(e.from - begin);
   const auto length = static_cast<std::uint32_t>(std::min<std::uint64_t>(e.left, p.length - offset));
-  const sums::Part part = p.sum != 0 ? sums::covering(offset, length, p.length) : sums::Part{offset, length};
+  const checksums::Range part =
+      p.sum != 0 ? checksums::align_to_blocks(offset, length, p.length) : checksums::Range{offset, length};
   e.skip = offset - part.offset, e.want = length;
   take(at, wire::Kind::read, e.group, p, part.offset, part.length, {}, &Daemon::read_done);
 }
@@ -633,7 +634,7 @@
   if (final == Final::missing && !e.reread && !e.session->answering()) {
     // Another head may have replaced the object since this one looked: once more, from the catalogue itself.
     e.reread = true;
-    return catalogue_.look(e.ask.volume, e.ask.object, e.answer_by, then(at, &Daemon::looked_up));
+    return catalogue_.find(e.ask.volume, e.ask.object, e.answer_by, then(at, &Daemon::looked_up));
   }
   if (final == Final::ended && data.size() >= e.skip + std::size_t{e.want})
     data = data.substr(e.skip, e.want);
@@ -737,7 +738,7 @@
   wire::Placed placed;
   placed.extent = {start_, ++last_extent_};
   placed.length = length;
-  placed.sum = sums::whole(placed.extent, data);
+  placed.sum = checksums::compute_extent(placed.extent, data);
   take(at, wire::Kind::write, e.group, placed, 0, length, std::move(data), &Daemon::write_done);
 }
 
@@ -768,54 +769,54 @@
                                        : wire::Condition::none;
   alter.stamp = e.ask.if_stamp;
   alter.object = e.object;
-  catalogue_.alter(alter, e.answer_by, then(at, &Daemon::recorded));
+  catalogue_.change(alter, e.answer_by, then(at, &Daemon::recorded));
 }
 
 void Daemon::recorded(int at, catalogue::Result&& result) {
   Exchange& e = exchanges_[at];
   const std::string volume = e.ask.volume, object = e.ask.object;
-  switch (result.fate) {
-    case catalogue::Fate::done: {
+  switch (result.status) {
+    case catalogue::Status::done: {
       e.answered = true;
-      const bool fresh = result.before.stamp == 0;
-      e.object.stamp = result.now.stamp;
+      const bool fresh = result.previous.stamp == 0;
+      e.object.stamp = result.current.stamp;
       if (e.session) e.session->answer(fresh ? 201 : 204, start_headers(e, "ended"), "");
       over(at);
-      return discard(volume, object, result.before);
+      return discard(volume, object, result.previous);
     }
-    case catalogue::Fate::conflict:
+    case catalogue::Status::conflict:
       answer_plain(e, 412, "another version stands");
       break;
     default:
       ++counts_.catalogue_failed;
       e.may_have_run = true;
-      answer_failed(e, result.fate == catalogue::Fate::unwritable ? "the catalogue can't be written"
-                                                                  : "the catalogue did not answer");
+      answer_failed(e, result.status == catalogue::Status::unwritable ? "the catalogue can't be written"
+                                                                      : "the catalogue did not answer");
   }
   const wire::Object orphans = e.object;
   over(at);
   // What no name stands for is freed, unless the catalogue may have taken it.
-  if (result.fate == catalogue::Fate::conflict || result.fate == catalogue::Fate::unwritable)
+  if (result.status == catalogue::Status::conflict || result.status == catalogue::Status::unwritable)
     discard(volume, object, orphans);
 }
 
 void Daemon::dropped(int at, catalogue::Result&& result) {
   Exchange& e = exchanges_[at];
   const std::string volume = e.ask.volume, object = e.ask.object;
-  if (result.fate == catalogue::Fate::done) {
+  if (result.status == catalogue::Status::done) {
     e.answered = true;
     if (e.session) e.session->answer(204, "Yewmount-Answer: ended\r\n", "");
-  } else if (result.fate == catalogue::Fate::absent) {
+  } else if (result.status == catalogue::Status::absent) {
     answer_plain(e, 404, "no such object");
-  } else if (result.fate == catalogue::Fate::conflict) {
+  } else if (result.status == catalogue::Status::conflict) {
     answer_plain(e, 412, "another version stands");
   } else {
     ++counts_.catalogue_failed;
-    e.may_have_run = result.fate == catalogue::Fate::unknown;
+    e.may_have_run = result.status == catalogue::Status::unknown;
     answer_failed(e, "the catalogue did not answer");
   }
   over(at);
-  if (result.fate == catalogue::Fate::done) discard(volume, object, result.before);
+  if (result.status == catalogue::Status::done) discard(volume, object, result.previous);
 }
 
 // Extents that no object names any more: a block I/O each on behalf of no client. What doesn't end stays in
@@ -839,7 +840,7 @@
     wire::Alter alter;
     alter.change = wire::Change::freed;
     alter.object.extents = e.object.extents;
-    catalogue_.alter(alter, monotonic_now() + kSecond, [](catalogue::Result&&) {});
+    catalogue_.change(alter, monotonic_now() + kSecond, [](catalogue::Result&&) {});
   }
   over(at);
 }
--- a/src/head/daemon.h
+++ b/src/head/daemon.h
@@ -155,7 +155,7 @@
   // Scrubbing (scrubbing.cpp): a walk over the catalogue, this head's part of it read and checked.
   struct Scrub {
     background::Scheduler scheduler;
-    background::Round round;
+    background::PassProgress round;
     std::deque<wire::Walked::Entry> page;
     std::size_t extent = 0;  // of the first entry of the page
     bool walking = false, reading = false, last_page = false, told_starved = false;
--- a/src/head/scrubbing.cpp
+++ b/src/head/scrubbing.cpp
@@ -19,16 +19,16 @@
 void Daemon::start_scrub() {
   const settings::Scrubbing& s = given_.scrub;
   if (s.group < 0) return;
-  background::Provisioning p;
+  background::Options p;
   const double burst = 2.0 * given_.rules.most_units;
-  p.classes.fill({s.units_a_second, burst});
-  p.all = {s.units_a_second, burst};
-  p.calm_from = s.calm_from;
-  p.rest = s.rest;
+  p.class_budgets.fill({s.units_a_second, burst});
+  p.total_budget = {s.units_a_second, burst};
+  p.min_calm = s.calm_from;
+  p.recovery_interval_us = s.rest;
   scrub_ = std::make_unique<Scrub>(
       Scrub{.scheduler = background::Scheduler(p, started_), .round = {}, .page = {}, .found = {}});
-  background::Round& round = scrub_->round;
-  round.began_wall = wall_now();
+  background::PassProgress& round = scrub_->round;
+  round.started_wall_us = wall_now();
   std::string text;
   if (const std::string why = read_file(s.cursor, text); !why.empty()) {
     if (::access(s.cursor.c_str(), F_OK) == 0) throw std::runtime_error(why);
@@ -39,16 +39,16 @@
     const nlohmann::json j = settings::parse(text, s.cursor);
     round.number = j.at("round"), round.volume = j.at("volume"), round.object = j.at("object");
     round.objects = j.at("objects"), round.extents = j.at("extents"), round.damaged = j.at("damaged");
-    round.missing = j.at("missing"), round.last_objects = j.at("last_objects");
-    round.began_wall = j.at("began_wall_us");
+    round.missing = j.at("missing"), round.previous_objects = j.at("last_objects");
+    round.started_wall_us = j.at("began_wall_us");
   } catch (const std::exception& e) {
-    round = {.volume = {}, .object = {}, .began_wall = wall_now()};
+    round = {.volume = {}, .object = {}, .started_wall_us = wall_now()};
     logs::error("scrub begins anew", {{"why", e.what()}});
   }
 }
 
 void Daemon::save_scrub() {
-  const background::Round& r = scrub_->round;
+  const background::PassProgress& r = scrub_->round;
   const nlohmann::json j = {{"round", r.number},
                             {"volume", r.volume},
                             {"object", r.object},
@@ -56,18 +56,18 @@
                             {"extents", r.extents},
                             {"damaged", r.damaged},
                             {"missing", r.missing},
-                            {"last_objects", r.last_objects},
-                            {"began_wall_us", r.began_wall}};
+                            {"last_objects", r.previous_objects},
+                            {"began_wall_us", r.started_wall_us}};
   if (const std::string why = write_file(given_.scrub.cursor, j.dump() + "\n"); !why.empty())
     logs::error("scrub cursor not written", {{"why", why}});
 }
 
 void Daemon::scrub_turn(Micros now) {
   Scrub& s = *scrub_;
-  s.scheduler.live(now, rules_->footprint().calm);
+  s.scheduler.report_foreground(now, rules_->footprint().calm);
   if (now < s.next_round) return;
-  s.scheduler.wants(now, background::Class::scrub, true);
-  const bool starved = s.scheduler.starved(now, background::Class::scrub);
+  s.scheduler.set_demand(now, background::TaskClass::scrub, true);
+  const bool starved = s.scheduler.is_starved(now, background::TaskClass::scrub);
   if (starved && !s.told_starved)
     logs::warn("scrub yields for long", {{"round", s.round.number}, {"objects", s.round.objects}});
   s.told_starved = starved;
@@ -83,22 +83,22 @@
                                     {"extents", s.round.extents},
                                     {"damaged", s.round.damaged},
                                     {"missing", s.round.missing}});
-    s.round.over(wall_now());
+    s.round.start_next(wall_now());
     s.last_page = false;
     s.next_round = now + given_.scrub.between;
-    s.scheduler.wants(now, background::Class::scrub, false);
+    s.scheduler.set_demand(now, background::TaskClass::scrub, false);
     return save_scrub();
   }
   s.walking = true;
-  catalogue_.walk(s.round.volume, s.round.object, kPage, now + kWalkWithin,
+  catalogue_.scan(s.round.volume, s.round.object, kPage, now + kWalkWithin,
                   [this](catalogue::Result&& page) { scrub_page(std::move(page)); });
 }
 
 void Daemon::scrub_page(catalogue::Result&& page) {
   Scrub& s = *scrub_;
   s.walking = false;
-  if (page.fate != catalogue::Fate::done) return;  // it is away: asked again
-  s.last_page = page.end;
+  if (page.status != catalogue::Status::done) return;  // it is away: asked again
+  s.last_page = page.at_end;
   s.extent = 0;
   for (wire::Walked::Entry& e : page.entries) s.page.push_back(std::move(e));
 }
@@ -114,14 +114,14 @@
         stable_hash(e.volume + '/' + e.name) % heads == static_cast<std::uint64_t>(given_.rules.own_number);
     while (own && s.extent < e.object.extents.size() && e.object.extents[s.extent].sum == 0) ++s.extent;
     if (own && s.extent < e.object.extents.size()) break;
-    s.round.passed(e.volume, e.name);
+    s.round.advance(e.volume, e.name);
     s.page.pop_front();
     s.extent = 0;
   }
   if (s.page.empty()) return;
   const wire::Walked::Entry& e = s.page.front();
   const wire::Placed p = e.object.extents[s.extent];
-  if (!s.scheduler.begin(now, background::Class::scrub, given_.units_for(p.length))) return;
+  if (!s.scheduler.try_start(now, background::TaskClass::scrub, given_.units_for(p.length))) return;
   const int at = open_exchange();
   Exchange& x = exchanges_[at];
   x.background = true;
@@ -139,7 +139,7 @@
   const wire::Placed p = x.object.extents.front();
   const bool done = final == Final::ended || final == Final::missing || x.damaged;
   s.reading = false;
-  s.scheduler.ended(monotonic_now(), background::Class::scrub, done);
+  s.scheduler.finish(monotonic_now(), background::TaskClass::scrub, done);
   const char* what = x.damaged ? "damaged" : final == Final::missing ? "missing" : nullptr;
   const std::string volume = x.ask.volume, object = x.ask.object;
   const std::uint64_t stamp = x.object.stamp;
@@ -149,9 +149,9 @@
   ++s.round.extents;
   if (!what) return;
   // A new version may have taken its place since the page was read; only what still stands is a finding.
-  catalogue_.look(volume, object, monotonic_now() + kWalkWithin,
+  catalogue_.find(volume, object, monotonic_now() + kWalkWithin,
                   [this, volume, object, stamp, p, what = std::string(what)](catalogue::Result&& now) {
-                    if (now.fate != catalogue::Fate::done || now.now.stamp != stamp) return;
+                    if (now.status != catalogue::Status::done || now.current.stamp != stamp) return;
                     ++(what == "damaged" ? scrub_->round.damaged : scrub_->round.missing);
                     nlohmann::json one = {
                         {"what", what},
@@ -169,15 +169,15 @@
 nlohmann::json Daemon::scrub_report() const {
   const Scrub& s = *scrub_;
   const Micros now = monotonic_now(), wall = wall_now();
-  const Micros end = s.round.expected_end(wall);
+  const Micros end = s.round.estimated_end(wall);
   return {{"round", s.round.number},
-          {"state", now < s.next_round       ? "between rounds"
-                    : s.scheduler.yielding() ? "yielding"
-                                             : "scrubbing"},
-          {"starved", s.scheduler.starved(now, background::Class::scrub)},
-          {"pace", s.scheduler.pace()},
+          {"state", now < s.next_round          ? "between rounds"
+                    : s.scheduler.is_yielding() ? "yielding"
+                                                : "scrubbing"},
+          {"starved", s.scheduler.is_starved(now, background::TaskClass::scrub)},
+          {"pace", s.scheduler.rate_factor()},
           {"objects", s.round.objects},
-          {"objects_last_round", s.round.last_objects},
+          {"objects_last_round", s.round.previous_objects},
           {"extents", s.round.extents},
           {"damaged", s.round.damaged},
           {"missing", s.round.missing},
--- a/standins/node.cpp
+++ b/standins/node.cpp
@@ -4,8 +4,8 @@
 #include <cmath>
 #include <filesystem>
 
+#include "checksums/checksums.h"
 #include "settings/checked.h"
-#include "sums/sums.h"
 
 namespace yewmount::standins {
 namespace {
@@ -185,7 +185,7 @@
     return answer(link.number, job, wire::Outcome::turned_away, {});
   // Looked at before anything else: what came in damaged is surely not run.
   if (submit.kind == wire::Kind::write && submit.sum != 0 &&
-      sums::whole(submit.extent, job.data) != submit.sum) {
+      checksums::compute_extent(submit.extent, job.data) != submit.sum) {
     record_.add({{"ev", "caught"}, {"node", given_.name}, {"head", job.head}, {"id", hex(submit.id)}});
     return answer(link.number, job, wire::Outcome::damaged, {});
   }
@@ -275,7 +275,7 @@
   const std::pair key(s.extent.head, s.extent.serial);
   const bool files = !given_.store.empty();
   if (s.kind == wire::Kind::write) {
-    sums::blocks(s.extent, job.data, sums);
+    checksums::compute_blocks(s.extent, job.data, sums);
     if (chance(flip_rest_)) flip(job.data, "rest", job);
     if (files) {
       // The sums first: data without them would be of no use.
--- a/tests/head/head_test.cpp
+++ b/tests/head/head_test.cpp
@@ -9,9 +9,9 @@
 #include <thread>
 
 #include "catalogue/server.h"
+#include "checksums/checksums.h"
 #include "head/daemon.h"
 #include "settings/checked.h"
-#include "sums/sums.h"
 #include "tests/support/peer.h"
 
 namespace yewmount::tests {
@@ -157,7 +157,7 @@
       while (!stop) {
         side.restart();
         side.run_one_for(std::chrono::milliseconds(5));
-        server->turn_over();
+        server->commit_and_flush();
       }
     });
     ahead = std::thread([this] { daemon->run(); });
@@ -171,7 +171,7 @@
     std::string out;
     if (s.kind == wire::Kind::read) out = data[key].substr(s.offset, s.length);
     std::vector<std::uint64_t> sums;
-    if (s.kind == wire::Kind::read) sums::blocks(s.extent, data[key], sums);
+    if (s.kind == wire::Kind::read) checksums::compute_blocks(s.extent, data[key], sums);
     c.answer(s.id, s.no, out,
              s.kind == wire::Kind::read && !data.count(key) ? wire::Outcome::missing : wire::Outcome::ended,
              sums);
@@ -375,13 +375,15 @@
     --bad;
     std::string& whole = data[{s.extent.head, s.extent.serial}];
     std::vector<std::uint64_t> sums;
-    sums::blocks(s.extent, whole, sums);
+    checksums::compute_blocks(s.extent, whole, sums);
     std::string out = whole.substr(s.offset, s.length);
     if (how == 0) out[out.size() / 2] ^= 4;
     if (how == 1) out.pop_back();
     if (how == 2) sums[0] ^= 1;
-    if (how == 3) out[0] ^= 1, sums::blocks(s.extent, out, sums);  // damaged, with sums that fit it
-    if (how == 4) sums::blocks({s.extent.head, s.extent.serial + 1}, whole, sums);  // another extent's
+    if (how == 3)
+      out[0] ^= 1, checksums::compute_blocks(s.extent, out, sums);  // damaged, with sums that fit it
+    if (how == 4)
+      checksums::compute_blocks({s.extent.head, s.extent.serial + 1}, whole, sums);  // another extent's
     if (how == 5) sums.clear();
     c.answer(s.id, s.no, out, wire::Outcome::ended, sums);
     return true;
@@ -425,7 +427,7 @@
       if (s.kind != wire::Kind::read || s.extent.serial % 10 != 0) return false;
       const std::string& whole = data[{s.extent.head, s.extent.serial}];
       std::vector<std::uint64_t> sums;
-      sums::blocks(s.extent, whole, sums);
+      checksums::compute_blocks(s.extent, whole, sums);
       std::string out = whole.substr(s.offset, s.length);
       out[0] ^= 1;
       c.answer(s.id, s.no, out, wire::Outcome::ended, sums);
