--- a/bench/rules_bench.cpp
+++ b/bench/rules_bench.cpp
@@ -1,4 +1,4 @@
-// What one turn of the module costs with many block I/Os held: time in, wishes out, no sockets.
+// CPU time of one iteration of the scheduling rules with many queued block I/Os, without sockets.
 #include <benchmark/benchmark.h>
 
 #include <deque>
@@ -10,7 +10,7 @@
 
 using namespace yewmount;
 
-struct Sink : Surroundings {
+struct CountingSurroundings : Surroundings {
   std::vector<std::pair<std::uint64_t, int>> sent;
   std::size_t answers = 0;
   void submit(std::uint64_t id, int node, Micros) override { sent.emplace_back(id, node); }
@@ -24,7 +24,7 @@
   void note(std::string_view) override {}
 };
 
-Provisioning given() {
+Provisioning scheduler_settings() {
   Provisioning p{};
   p.seed = 7, p.heads = 1;
   p.groups = {{600'000'000, 900'000'000, 0, 0, 2, 0.2, Repeat::idempotent, Scope::all, false, false}};
@@ -35,13 +35,15 @@
   return p;
 }
 
-// held: how many wait; shard -1: new objects, 0: reads of one node. One turn is a tick and a settle.
-void turn(benchmark::State& state) {
-  const int held = static_cast<int>(state.range(0)), nodes = 45;
-  const bool fresh = state.range(1) != 0;
-  Sink out;
+// Arguments: the number of queued block I/Os, and whether they write new objects (which any node may take)
+// instead of reading objects from a fixed shard. One iteration is a timer tick and a settle().
+void run_iterations(benchmark::State& state) {
+  const int queued = static_cast<int>(state.range(0));
+  const int nodes = 45;
+  const bool is_new = state.range(1) != 0;
+  CountingSurroundings surroundings;
   Micros now = 1'000'000;
-  Head head(given(), out, now);
+  Head head(scheduler_settings(), surroundings, now);
   std::deque<std::string> names;
   std::vector<NodeEntry> entries;
   for (int n = 0; n < nodes; ++n) {
@@ -49,14 +51,14 @@
     entries.push_back({n, names.back(), NodeState::ready, n, 0, 1, 0});
   }
   head.listed(ListKind::full, entries);
-  for (int i = 0; i < held + 32 * nodes; ++i)
+  for (int i = 0; i < queued + 32 * nodes; ++i)
     head.take({.id = static_cast<std::uint64_t>(i + 1),
                .object = 17u * static_cast<unsigned>(i),
                .give_up_at = now + 900'000'000,
                .group = 0,
                .plan = 0,
                .volume = i % 50,
-               .shard = fresh ? -1 : i % nodes,
+               .shard = is_new ? -1 : i % nodes,
                .units = 1 + i % 6,
                .heads = 1});
   head.settle();
@@ -66,9 +68,10 @@
     head.woke(0);
     head.settle();
   }
-  state.counters["sent"] = static_cast<double>(out.sent.size());
+  state.counters["sent"] = static_cast<double>(surroundings.sent.size());
 }
-BENCHMARK(turn)
+BENCHMARK(run_iterations)
+    ->Name("turn")
     ->ArgNames({"held", "new"})
     ->Args({100, 0})
     ->Args({100, 1})
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -61,7 +61,7 @@
       std::cout << text;
     } else if (run->parsed()) {
       const std::string self = std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
-      days::play(file, folder, self, head);
+      days::run_scenario(file, folder, self, head);
       return tell(judge::judge_folder(folder), folder, json);
     } else if (plan.parsed()) {
       return plan.run();
--- a/src/days/runner.h
+++ b/src/days/runner.h
@@ -1,13 +1,14 @@
-// Plays a scripted day with processes: list, catalogue, nodes, heads, clients, and what goes wrong with them.
+// Runs a scenario (a day file) end to end with processes: list service, catalogue, storage nodes, heads and
+// clients, and the scripted faults.
 #pragma once
 #include <string>
 
 namespace yewmount::days {
 
-// Leaves DIR/day.json and DIR/record/ for the judge, and logs beside them. Throws std::runtime_error (or
-// settings::Bad) with one line where the day can't be played. binaries: the folder of the programs;
-// head_program: another yewmountd than the one there.
-void play(const std::string& day_file, const std::string& folder, const std::string& binaries,
-          const std::string& head_program = {});
+// Runs the scenario and writes its copy, the records for the judge and the logs to `directory` (day.json,
+// record/, log/). binaries: directory of the programs; head_program: path of another yewmountd to run
+// instead. Throws std::runtime_error or settings::Bad with a one-line message if the scenario can't be run.
+void run_scenario(const std::string& day_file, const std::string& directory, const std::string& binaries,
+                  const std::string& head_program = {});
 
 }  // namespace yewmount::days
--- a/standins/node_main.cpp
+++ b/standins/node_main.cpp
@@ -1,4 +1,4 @@
-// yewmount-node: a storage node stand-in.
+// yewmount-node: a stand-in for a storage node.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
@@ -8,22 +8,22 @@
 int main(int argc, char** argv) {
   using namespace yewmount;
   CLI::App app{"yewmount-node: a storage node stand-in with faults on command"};
-  std::string file;
-  app.add_option("--settings", file, "JSON settings (schema/node.json)")->required();
+  std::string settings_file;
+  app.add_option("--settings", settings_file, "JSON settings (schema/node.json)")->required();
   CLI11_PARSE(app, argc, argv);
   try {
     asio::io_context io(1);
     std::signal(SIGPIPE, SIG_IGN);
-    standins::NodeProvision given = standins::load_node(file);
-    logs::start("yewmount-node", given.name);
-    const std::string name = given.name;
-    standins::Node node(io, std::move(given));
-    standins::serve(io, node,
-                    {{"ready", true},
-                     {"name", name},
-                     {"port", node.port()},
-                     {"control_port", node.control_port()},
-                     {"start", node.start()}});
+    standins::NodeOptions options = standins::load_node_options(settings_file);
+    logs::start("yewmount-node", options.name);
+    const std::string name = options.name;
+    standins::Node node(io, std::move(options));
+    standins::run_event_loop(io, node,
+                             {{"ready", true},
+                              {"name", name},
+                              {"port", node.port()},
+                              {"control_port", node.control_port()},
+                              {"start", node.instance_id()}});
     return 0;
   } catch (const std::exception& e) {
     std::cerr << "yewmount-node: " << e.what() << std::endl;
