--- a/bench/head_bench.cpp
+++ b/bench/head_bench.cpp
@@ -120,7 +120,7 @@
   return f;
 }
 
-struct Direct : net::LinkOwner {  // frames straight to the node, over two connections as the head does
+struct Direct : net::LinkHandler {  // frames straight to the node, over two connections as the head does
   asio::io_context& io;
   wire::Submit submit;
   int out;
@@ -135,15 +135,15 @@
   void send(net::Link& link) {
     submit.id = ++last;
     sent[last] = monotonic_now();
-    wire::put(link.out(), submit, {});
+    wire::encode(link.out(), submit, {});
   }
   void on_frame(net::Link& link, const wire::Frame& frame) override {
-    if (frame.type == wire::Type::hello) {
+    if (frame.type == wire::FrameType::hello) {
       for (int i = link.number; i < out; i += 2) send(link);
       return link.flush();
     }
     wire::Answer answer;
-    wire::get(frame, answer);
+    wire::decode(frame, answer);
     const auto it = sent.find(answer.id);
     f.lags.push_back(monotonic_now() - it->second);
     sent.erase(it);
@@ -166,7 +166,7 @@
     socket.connect({asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port)});
     d.links.push_back(std::make_shared<net::Link>(std::move(socket), d));
     d.links.back()->number = i;
-    wire::put(d.links.back()->out(), wire::Hello{wire::Role::head, "direct", -1, 0});
+    wire::encode(d.links.back()->out(), wire::Hello{wire::Role::head, "direct", -1, 0});
     d.links.back()->start();
     d.links.back()->flush();
   }
@@ -234,21 +234,21 @@
     // The node holds it under the head's own extent: found by asking the catalogue as any head would.
     wire::Submit submit;
     submit.group = "read", submit.volume = "v", submit.object = "object";
-    submit.length = 1024, submit.try_for = 5'000'000;
+    submit.length = 1024, submit.timeout = 5'000'000;
     {
       asio::ip::tcp::socket s(io);
       s.connect({asio::ip::address_v4::loopback(), c.at("port").get<std::uint16_t>()});
       std::string out;
-      wire::put(out, wire::Look{1, "v", "object"});
+      wire::encode(out, wire::Lookup{1, "v", "object"});
       asio::write(s, asio::buffer(out));
-      wire::Inbox inbox;
+      wire::FrameDecoder inbox;
       wire::Frame frame{};
-      wire::Found found;
-      while (found.call == 0) {
-        const auto room = inbox.room(4096);
-        inbox.came(s.read_some(asio::buffer(room.data(), room.size())));
+      wire::LookupReply found;
+      while (found.call_id == 0) {
+        const auto room = inbox.prepare(4096);
+        inbox.commit(s.read_some(asio::buffer(room.data(), room.size())));
         while (inbox.next(frame))
-          if (frame.type == wire::Type::found) wire::get(frame, found);
+          if (frame.type == wire::FrameType::lookup_reply) wire::decode(frame, found);
       }
       submit.extent = found.object.extents.at(0).extent;
     }
--- a/benchlink/link.cpp
+++ b/benchlink/link.cpp
@@ -15,10 +15,10 @@
 using provision::as;
 using provision::get;
 using provision::get_or;
-using provision::part;
+using provision::require_typed;
 using provision::time_of;
 using provision::time_or;
-using provision::word;
+using provision::parse_enum;
 
 constexpr double kMicrosPerSecond = 1e6;
 
@@ -48,7 +48,7 @@
                                                              {"connection_lost", Result::lost},
                                                              {"called_off", Result::called_off},
                                                              {"not_sent", Result::not_sent}};
-  return word(get<std::string>(fields, "rc"), words, "result");
+  return parse_enum(get<std::string>(fields, "rc"), words, "result");
 }
 
 }  // namespace
@@ -68,9 +68,9 @@
 }
 
 void Seat::power_on(const json& fields, Micros now) {
-  nodes_ = volumes_ = zones_ = Names();
-  given_ =
-      provision::read(part(fields, "conf", json::value_t::object), get<std::uint64_t>(fields, "random-seed"));
+  nodes_ = volumes_ = zones_ = NameTable();
+  given_ = provision::read_platform_settings(require_typed(fields, "conf", json::value_t::object),
+                                             get<std::uint64_t>(fields, "random-seed"));
   guarded([&] { head_ = std::make_unique<Head>(given_.head, *this, now); });
 }
 
@@ -185,7 +185,8 @@
   auto row = fields.find("report");
   if (row == fields.end() || !row->is_array()) return told;
   for (std::size_t i = 0; i < row->size() && i < given_.report_fields.size(); ++i)
-    if ((*row)[i].is_number()) provision::put_load(told, given_.report_fields[i], (*row)[i].get<double>());
+    if ((*row)[i].is_number())
+      provision::set_load_value(told, given_.report_fields[i], (*row)[i].get<double>());
   return told;
 }
 
@@ -252,7 +253,7 @@
   }
   if (name == "Manifest") {
     const int number = get<int>(fields, "set-id");
-    part(fields, "members-list", json::value_t::array);
+    require_typed(fields, "members-list", json::value_t::array);
     manifests_[number] = std::move(fields["members-list"]);
     return;
   }
--- a/benchlink/link.h
+++ b/benchlink/link.h
@@ -16,7 +16,7 @@
 namespace yewmount::benchlink {
 
 using provision::BadInput;
-using provision::Names;
+using provision::NameTable;
 
 // One head as the wire sees it: its module, its own tables of names, its lines of the reply.
 class Seat : public Surroundings {
@@ -52,8 +52,8 @@
   std::string inst_;
   std::string reply_;
   std::unique_ptr<Head> head_;
-  Names nodes_, volumes_, zones_;
-  provision::Platform given_;
+  NameTable nodes_, volumes_, zones_;
+  provision::PlatformSettings given_;
 };
 
 class Link {
--- a/cmake/embed.cmake
+++ b/cmake/embed.cmake
@@ -1,6 +1,6 @@
 # Writes schemas.cpp: each schema/*.json as text, found by its name.
 file(GLOB files ${IN}/*.json)
-set(text "#include \"settings/checked.h\"\nnamespace yewmount::settings {\nstd::string_view schema(std::string_view name) {\n")
+set(text "#include \"settings/json_schema.h\"\nnamespace yewmount::settings {\nstd::string_view schema(std::string_view name) {\n")
 foreach(file ${files})
   get_filename_component(name ${file} NAME_WE)
   file(READ ${file} body)
--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -24,7 +24,7 @@
 yewmount_package(sums SOURCES src/sums/sums.cpp USES yewmount_wire)
 yewmount_package(net SOURCES src/net/stream.cpp src/net/link.cpp src/net/listener.cpp
                  USES yewmount_wire yewmount_base Threads::Threads)
-yewmount_package(settings SOURCES src/settings/checked.cpp src/settings/head.cpp ${schemas}
+yewmount_package(settings SOURCES src/settings/json_schema.cpp src/settings/head_settings.cpp ${schemas}
                  USES yewmount_base yewmount_rules)
 yewmount_package(solver SOURCES src/solver/model.cpp src/solver/exact.cpp src/solver/solve.cpp src/solver/clash.cpp
                  USES glpk)
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -10,7 +10,7 @@
 yewmount_test(wire SOURCES tests/wire/wire_test.cpp USES yewmount_wire)
 yewmount_test(carrier SOURCES tests/carrier/carrier_test.cpp USES yewmount_carrier)
 yewmount_test(catalogue SOURCES tests/catalogue/store_test.cpp USES yewmount_catalogue)
-yewmount_test(settings SOURCES tests/settings/head_test.cpp USES yewmount_settings)
+yewmount_test(settings SOURCES tests/settings/head_settings_test.cpp USES yewmount_settings)
 
 # Each day is played by processes of its own and judged; two at a time leave the machine some air.
 file(GLOB days CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/days/*.json)
--- a/fuzz/resp_fuzz.cpp
+++ b/fuzz/resp_fuzz.cpp
@@ -1,4 +1,5 @@
-// Whatever bytes come: no read beyond them, and what is whole can be cut again with the same result.
+// libFuzzer target: parsing never reads beyond the input, and parsing a complete message's bytes again gives
+// the same result.
 #include <cstdint>
 #include <cstdlib>
 
@@ -6,20 +7,21 @@
 
 using namespace yewmount::resp;
 
-static Cut cut(std::string_view bytes, Reply& reply) { return cut(bytes, reply, 1 << 10); }
+static ParseStatus parse(std::string_view bytes, Reply& reply) { return parse(bytes, reply, 1 << 10); }
 
-template <class Thing>
-static void once(std::string_view bytes) {
-  Thing thing;
-  if (cut(bytes, thing) != Cut::whole) return;
-  if (thing.bytes > bytes.size() || thing.count > kMostWords) std::abort();
-  Thing again;
-  if (cut(bytes.substr(0, thing.bytes), again) != Cut::whole || again.bytes != thing.bytes) std::abort();
+template <class Message>
+static void check_parsing(std::string_view bytes) {
+  Message message;
+  if (parse(bytes, message) != ParseStatus::complete) return;
+  if (message.bytes > bytes.size() || message.count > kMaxWords) std::abort();
+  Message again;
+  if (parse(bytes.substr(0, message.bytes), again) != ParseStatus::complete || again.bytes != message.bytes)
+    std::abort();
 }
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  once<Command>(bytes);
-  once<Reply>(bytes);
+  check_parsing<Command>(bytes);
+  check_parsing<Reply>(bytes);
   return 0;
 }
--- a/fuzz/wire_fuzz.cpp
+++ b/fuzz/wire_fuzz.cpp
@@ -1,21 +1,21 @@
-// libFuzzer target: bytes off a socket, cut into frames and decoded.
+// libFuzzer target: splits received bytes into frames and decodes them.
 #include <algorithm>
 
-#include "fuzz/wire_any.h"
+#include "fuzz/decode_any.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace yewmount::wire;
-  Inbox inbox;
+  FrameDecoder decoder;
   try {
     for (std::size_t at = 0; at < size;) {
-      const std::size_t n = std::min<std::size_t>(size - at, 1 + data[at] % 64);
-      std::copy_n(data + at, n, inbox.room(n).data());
-      inbox.came(n);
-      at += n;
-      Frame f{};
-      while (inbox.next(f)) read_any(f);
+      const std::size_t chunk = std::min<std::size_t>(size - at, 1 + data[at] % 64);
+      std::copy_n(data + at, chunk, decoder.prepare(chunk).data());
+      decoder.commit(chunk);
+      at += chunk;
+      Frame frame{};
+      while (decoder.next(frame)) decode_any(frame);
     }
-  } catch (const Malformed&) {
+  } catch (const MalformedFrame&) {
   }
   return 0;
 }
--- a/src/base/base.h
+++ b/src/base/base.h
@@ -1,4 +1,4 @@
-// What every program here needs: the clock, one line of log an event, whole files.
+// Shared basics of all programs: clocks, random ids, structured logging, and reading and writing of files.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -7,22 +7,27 @@
 
 namespace yewmount {
 
-// Microseconds of the machine's monotonic clock, the same for all processes of one machine.
+// Microseconds on the monotonic clock, which all processes of a machine share.
 std::int64_t monotonic_now();
 
-// Microseconds since 1970; may jump.
+// Microseconds since the Unix epoch; may jump when the clock is set.
 std::int64_t wall_now();
 
-// A random number from the system, for what must be unique over restarts; never for decisions.
-std::uint64_t fresh_number();
+// A random 63-bit id from the system's entropy source, unique across restarts. Decisions draw from seeded
+// generators instead, so that they can be reproduced.
+std::uint64_t random_id();
 
 namespace logs {
 
-// One JSON line an event on standard error: time, level, program, event, then the fields. level: "debug",
-// "info", "warn", "error"; false if it is none of these.
-void start(std::string_view program, std::string_view name);
-bool level(std::string_view level);
-bool debugging();  // whether debug lines are written: asked where their fields cost something
+// Starts logging to standard error, one JSON object per line: time, level, program, name, event, fields.
+void init(std::string_view program, std::string_view name);
+
+// Sets the lowest level that is written: "debug", "info", "warn" or "error". Returns false for other texts.
+bool set_level(std::string_view level);
+
+// Whether debug events are written; lets callers skip building expensive fields.
+bool is_debug_enabled();
+
 void debug(std::string_view event, const nlohmann::ordered_json& fields = {});
 void info(std::string_view event, const nlohmann::ordered_json& fields = {});
 void warn(std::string_view event, const nlohmann::ordered_json& fields = {});
@@ -30,9 +35,11 @@
 
 }  // namespace logs
 
-// Both give an empty text, or why not in one line. A written file is whole and on disk, or the old one
-// stands.
+// Reads a whole file into `bytes`. Returns an empty string, or the reason of the failure in one line.
 std::string read_file(const std::string& path, std::string& bytes);
+
+// Replaces a file atomically and syncs it to disk; on failure the old file remains. Returns an empty string,
+// or the reason of the failure in one line.
 std::string write_file(const std::string& path, std::string_view bytes);
 
 }  // namespace yewmount
--- a/src/callers/callers.cpp
+++ b/src/callers/callers.cpp
@@ -38,7 +38,7 @@
         unread_since_(unread_since) {}
 
   std::uint64_t token() const { return token_; }
-  bool quiet() const { return slots_.empty() && held_.empty() && pending() == 0; }
+  bool quiet() const { return slots_.empty() && held_.empty() && pending_bytes() == 0; }
   bool spoke() const { return spoke_; }
   std::size_t unanswered() const {
     return static_cast<std::size_t>(std::ranges::count(slots_, false, &Slot::done));
@@ -75,7 +75,7 @@
 
   // A wait in which nothing came is over without consequence.
   void forget_empty_wait() {
-    if (unread_since_ > 0 && !unread()) unread_since_ = 0;
+    if (unread_since_ > 0 && !has_unread_input()) unread_since_ = 0;
   }
 
   // Commands that had to wait.
@@ -87,23 +87,23 @@
   void flushed() {
     if (!open()) return;
     flush();
-    if (open()) moved();
+    if (open()) on_write_progress();
   }
 
   // Why it is to be closed now, if it is.
   std::optional<CloseReason> overdue(Micros now) {
-    if (pending() == 0) moved_ = now;
-    if (handed() != told_) told_ = handed(), moved_ = now;
+    if (pending_bytes() == 0) moved_ = now;
+    if (bytes_written() != told_) told_ = bytes_written(), moved_ = now;
     if (now - moved_ > kStalled) return CloseReason::stalled;
     // Reading is held back while too much waits: an end behind it is looked for.
-    if (held_back_ && !over_ && hung_up()) ended();
+    if (held_back_ && !over_ && has_peer_closed()) on_peer_eof();
     if (refused_ || !slots_.empty()) return {};
     if (!held_.empty() && !full_ && now - begun_ > kSpeakWithin) {
       refuse("a command that doesn't end");
       return {};
     }
     const bool silent = spoke_ ? quiet() && now - used_ > kIdle : now - began_ > kSpeakWithin;
-    if (!silent || (quiet() && unread())) return {};
+    if (!silent || (quiet() && has_unread_input())) return {};
     return CloseReason::silent;
   }
 
@@ -111,7 +111,7 @@
   void turn_back_held() {
     for (std::string_view all = held_; !refused_ && !all.empty();) {
       resp::Command command;
-      if (resp::cut(all, command) != resp::Cut::whole) break;
+      if (resp::parse(all, command) != resp::ParseStatus::complete) break;
       all.remove_prefix(command.bytes);
       turn_back("-BUSY\r\n");
     }
@@ -142,8 +142,8 @@
   };
 
   Caller caller(std::uint64_t turn) const { return {number_, token_, turn}; }
-  std::span<char> room() override { return net::shared_room(); }
-  void lost(const std::error_code&) override { owner_.let_go(number_, CloseReason::broken); }
+  std::span<char> read_buffer() override { return net::shared_read_buffer(); }
+  void on_error(const std::error_code&) override { owner_.let_go(number_, CloseReason::broken); }
 
   void turn_back(std::string_view line) {
     slots_.emplace_back();
@@ -165,7 +165,7 @@
   // The client has closed or sends no more, which looks the same from here. What it left behind never begins;
   // what has begun gets its answer, for one that still reads. A turn later, so that a command that came with
   // the end still has its chance.
-  bool ended() override {
+  bool on_peer_eof() override {
     ++owner_.counts_.parted;
     over_ = true;
     turn_back_held();
@@ -175,20 +175,20 @@
   }
 
   // What had to wait for the client to take its answers goes on.
-  void moved() override {
-    if (slots_.empty() && pending() == 0 && (refused_ || over_))
+  void on_write_progress() override {
+    if (slots_.empty() && pending_bytes() == 0 && (refused_ || over_))
       return owner_.let_go(number_, refused_ ? CloseReason::unreadable : CloseReason::ended);
     // What a burst of long answers needed is not kept.
-    if (pending() == 0 && out().capacity() > kMostPending) out() = {};
+    if (pending_bytes() == 0 && out().capacity() > kMostPending) out() = {};
     if (full_ && !full()) owner_.waiting_.push_back(caller(0));
   }
 
-  bool full() const { return slots_.size() >= kMostOpen || pending() >= kMostPending; }
+  bool full() const { return slots_.size() >= kMostOpen || pending_bytes() >= kMostPending; }
 
-  void came(std::size_t bytes) override {
+  void on_read(std::size_t bytes) override {
     const Micros arrived = unread_since_ > 0 ? unread_since_ : owner_.arrival();
-    if (bytes < net::kReadBytes) unread_since_ = 0;  // nothing is left in the socket
-    if (!refused_) take({net::shared_room().data(), bytes}, arrived);
+    if (bytes < net::kReadBufferBytes) unread_since_ = 0;  // nothing is left in the socket
+    if (!refused_) take({net::shared_read_buffer().data(), bytes}, arrived);
   }
 
   // An exception in one connection ends that connection only.
@@ -210,9 +210,9 @@
     while (used < all.size()) {
       if ((full_ = full())) break;
       resp::Command command;
-      const resp::Cut cut = resp::cut(all.substr(used), command);
-      if (cut == resp::Cut::partial) break;
-      if (cut == resp::Cut::malformed) return refuse(command.why);
+      const resp::ParseStatus cut = resp::parse(all.substr(used), command);
+      if (cut == resp::ParseStatus::partial) break;
+      if (cut == resp::ParseStatus::malformed) return refuse(command.why);
       used += command.bytes;
       begun_ = 0;
       spoke_ = true;
@@ -225,7 +225,7 @@
     held_back_ = full_ && (held_.size() > kMostAhead || owner_.ahead_ > owner_.most_ahead_);
     if (held_back_ && unread_since_ == 0) unread_since_ = monotonic_now();
     if (!held_back_) forget_empty_wait();
-    hold_reading(held_back_);
+    pause_reading(held_back_);
   }
 
   // What is left for later, and when its parts came.
@@ -286,12 +286,12 @@
 
 // A newcomer waits a little where no connection can make room for it at once.
 void Callers::taken(asio::ip::tcp::socket socket) {
-  if (live_.size() < most_ || make_room()) return admit(std::move(socket), listener_.behind_since());
+  if (live_.size() < most_ || make_room()) return admit(std::move(socket), listener_.backlogged_since());
   if (lobby_.size() >= kLobby) {
     ++counts_.turned_back;
     lobby_.pop_front();  // the socket closes
   }
-  const Micros now = monotonic_now(), behind = listener_.behind_since();
+  const Micros now = monotonic_now(), behind = listener_.backlogged_since();
   lobby_.push_back({behind > 0 ? behind : now, now + kLobbyWait, std::move(socket)});
 }
 
@@ -319,7 +319,7 @@
       if (worse) worst = s;
     }
     if (worst < 0) return false;
-    if (!sessions_[worst]->unread()) {
+    if (!sessions_[worst]->has_unread_input()) {
       let_go(worst, CloseReason::evicted);
       return true;
     }
@@ -345,7 +345,7 @@
 
 bool Callers::hung_up(const Caller& caller) const {
   Session* session = find(caller);
-  return !session || session->hung_up();
+  return !session || session->has_peer_closed();
 }
 
 Micros Callers::arrival() const {
@@ -384,11 +384,11 @@
   const std::shared_ptr<Session> session = std::move(sessions_[at]);
   const std::size_t unanswered = session->unanswered();
   ++counts_.closed[static_cast<std::size_t>(reason)];
-  if (logs::debugging())
+  if (logs::is_debug_enabled())
     logs::debug("client closed", {{"connection", session->token()},
                                   {"why", permits::kCloseReasons[static_cast<std::size_t>(reason)]},
                                   {"unanswered", unanswered},
-                                  {"pending", session->pending()}});
+                                  {"pending", session->pending_bytes()}});
   if (!permits::may_close(reason, unanswered)) {
     ++counts_.closed_unanswered;
     logs::error("violation: closed unanswered",
@@ -400,7 +400,7 @@
   if (!session->open()) return;
   ++counts_.lingered;
   lingering_.emplace_back(monotonic_now() + kReadOff, session);
-  session->linger();
+  session->close_lingering();
   while (live_.size() + lingering_.size() > most_ + kLingerers) {
     lingering_.front().second->close();
     lingering_.pop_front();
@@ -424,7 +424,7 @@
 void Callers::close_idle() {
   std::vector<int> all(live_.begin(), live_.end());
   for (int s : all)
-    if (sessions_[s]->quiet() && !sessions_[s]->unread()) let_go(s, CloseReason::idle);
+    if (sessions_[s]->quiet() && !sessions_[s]->has_unread_input()) let_go(s, CloseReason::idle);
 }
 
 void Callers::close_all() {
--- a/src/callers/callers.h
+++ b/src/callers/callers.h
@@ -65,7 +65,7 @@
   void deliver();  // commands and connections that had to wait for room, clients that part
   void flush();
   void sweep(Micros now);  // now and then: closes what takes too long
-  void stop_listening() { listener_.finish(); }
+  void stop_listening() { listener_.accept_pending_and_close(); }
   void close_idle();  // between commands
   void close_all();   // what was read and not asked is turned back
   std::size_t clients() const { return live_.size(); }
--- a/src/carrier/carrier.cpp
+++ b/src/carrier/carrier.cpp
@@ -15,7 +15,7 @@
 
 std::uint64_t key_of(std::uint64_t id, int no) { return id << kSubmitBits | static_cast<unsigned>(no); }
 
-LoadReport report(const wire::Load& l) { return {l.outstanding, l.backlog, l.utilization, l.recent}; }
+LoadReport report(const wire::Load& l) { return {l.outstanding, l.backlog, l.utilization, l.recent_latency}; }
 
 }  // namespace
 
@@ -73,7 +73,7 @@
   const Peer& peer = peers_[line.node];
   line.socket = std::make_shared<asio::ip::tcp::socket>(io_);
   auto socket = line.socket;
-  socket->async_connect({net::loopback(peer.at.address), peer.at.port},
+  socket->async_connect({net::parse_loopback_address(peer.at.address), peer.at.port},
                         [this, at, socket, alive = alive_](std::error_code error) {
                           if (!*alive || lines_[at].socket != socket) return;
                           Line& line = lines_[at];
@@ -81,7 +81,8 @@
                           line.socket.reset();
                           line.link = std::make_shared<net::Link>(std::move(*socket), *this);
                           line.link->number = at;
-                          wire::put(line.link->out(), wire::Hello{wire::Role::head, given_.head_name, -1, 0});
+                          wire::encode(line.link->out(),
+                                       wire::Hello{wire::Role::head, given_.head_name, -1, 0});
                           line.link->start();
                           line.link->flush();
                         });
@@ -97,9 +98,9 @@
     soon_.push_back({out.key, Result::not_sent});
     return;
   }
-  out.begin = line.link->appended();
+  out.begin = line.link->bytes_appended();
   line.link->out() += out.frame;
-  out.end = line.link->appended();
+  out.end = line.link->bytes_appended();
   out.sent = true;
   out.frame.clear();
   dirty_.push_back(out.line);
@@ -138,21 +139,21 @@
                      Micros try_for) {
   Out out;
   out.id = submit.id;
-  out.no = submit.no;
-  out.key = key_of(submit.id, submit.no);
+  out.no = submit.attempt;
+  out.key = key_of(submit.id, submit.attempt);
   out.until = now + try_for;
   begin(node, std::move(out), now);
-  const int at = find(key_of(submit.id, submit.no));
+  const int at = find(key_of(submit.id, submit.attempt));
   Out& o = outs_[at];
   if (o.line < 0) return;
   Line& line = lines_[o.line];
   if (!line.greeted) {
-    wire::put(o.frame, submit, data);
+    wire::encode(o.frame, submit, data);
     return;
   }
-  o.begin = line.link->appended();
-  wire::put(line.link->out(), submit, data);
-  o.end = line.link->appended();
+  o.begin = line.link->bytes_appended();
+  wire::encode(line.link->out(), submit, data);
+  o.end = line.link->bytes_appended();
   o.sent = true;
   dirty_.push_back(o.line);
 }
@@ -166,7 +167,7 @@
   begin(node, std::move(out), now);
   Out& o = outs_[find(key)];
   if (o.line < 0) return;
-  wire::put(o.frame, wire::Probe{key});
+  wire::encode(o.frame, wire::Probe{key});
   hand(find(key));
 }
 
@@ -175,7 +176,7 @@
   if (at < 0) return;
   Out& out = outs_[at];
   if (out.sent && out.line >= 0) {
-    wire::put(lines_[out.line].link->out(), wire::Cancel{id, no});
+    wire::encode(lines_[out.line].link->out(), wire::Cancel{id, no});
     dirty_.push_back(out.line);
   }
   soon_.push_back({out.key, Result::called_off});
@@ -206,18 +207,18 @@
     told_.probe_ended(ended.node, result, now - ended.at, answer ? report(answer->load) : LoadReport{});
     return;
   }
-  Ended told{
-      .id = ended.id,
-      .no = ended.no,
-      .node = ended.node,
-      .result = result,
-      .missing = answer && answer->outcome == wire::Outcome::missing,
-      .lag = now - ended.at,
-      .volume_use = answer ? answer->volume_use : 0,
-      .from_others = answer ? answer->from_others : 0,
-      .report = answer ? report(answer->load) : LoadReport{},
-      .data = data,
-      .sums = answer ? std::span<const std::uint64_t>(answer->sums) : std::span<const std::uint64_t>{}};
+  Ended told{.id = ended.id,
+             .no = ended.no,
+             .node = ended.node,
+             .result = result,
+             .missing = answer && answer->outcome == wire::Outcome::not_found,
+             .lag = now - ended.at,
+             .volume_use = answer ? answer->volume_use : 0,
+             .from_others = answer ? answer->from_others : 0,
+             .report = answer ? report(answer->load) : LoadReport{},
+             .data = data,
+             .sums = answer ? std::span<const std::uint64_t>(answer->block_checksums)
+                            : std::span<const std::uint64_t>{}};
   told_.submit_ended(told);
 }
 
@@ -226,9 +227,9 @@
   const Out out = outs_[at];
   if (!out.sent || out.line < 0) return false;
   Line& line = lines_[out.line];
-  if (!line.link || !line.link->open() || out.begin < line.link->handed()) return false;
+  if (!line.link || !line.link->open() || out.begin < line.link->bytes_written()) return false;
   const std::uint64_t size = out.end - out.begin;
-  line.link->take_back(out.begin, out.end);
+  line.link->remove_pending(out.begin, out.end);
   for (int other : live_)
     if (Out& o = outs_[other]; o.line == out.line && o.sent && o.begin > out.begin)
       o.begin -= size, o.end -= size;
@@ -300,7 +301,7 @@
 void Carrier::line_gone(int at, const std::string& why) {
   Line& line = lines_[at];
   logs::debug("connection gone", {{"node", peers_[line.node].at.name}, {"why", why}, {"out", line.out}});
-  const std::uint64_t handed = line.link ? line.link->handed() : 0;
+  const std::uint64_t handed = line.link ? line.link->bytes_written() : 0;
   for (int o : live_) {
     Out& out = outs_[o];
     if (out.line != at) continue;
@@ -316,13 +317,13 @@
   const int at = link.number;
   Line& line = lines_[at];
   switch (frame.type) {
-    case wire::Type::hello: {
+    case wire::FrameType::hello: {
       wire::Hello hello;
-      wire::get(frame, hello);
+      wire::decode(frame, hello);
       const NodeAt& wanted = peers_[line.node].at;
       if (hello.role != wire::Role::node || hello.name != wanted.name ||
-          (wanted.start && hello.start != wanted.start))
-        throw wire::Malformed("'" + std::string(hello.name) + "' answers where '" + wanted.name +
+          (wanted.start && hello.incarnation != wanted.start))
+        throw wire::MalformedFrame("'" + std::string(hello.name) + "' answers where '" + wanted.name +
                               "' or its present start was looked for");
       line.greeted = true;
       for (int o : live_)
@@ -330,29 +331,30 @@
       link.flush();
       return;
     }
-    case wire::Type::answer: {
+    case wire::FrameType::answer: {
       wire::Answer& answer = answer_;  // kept, so that its sums' memory is
-      wire::get(frame, answer);
-      const int o = answer.no >= 0 && answer.no < (1 << kSubmitBits) && answer.id < kProbeKey >> kSubmitBits
-                        ? find(key_of(answer.id, answer.no))
-                        : -1;
+      wire::decode(frame, answer);
+      const int o =
+          answer.attempt >= 0 && answer.attempt < (1 << kSubmitBits) && answer.id < kProbeKey >> kSubmitBits
+              ? find(key_of(answer.id, answer.attempt))
+              : -1;
       if (o < 0 || outs_[o].line != at) return;  // it was given up before
       static constexpr Result results[] = {Result::ended, Result::error, Result::turned_away, Result::ended,
                                            Result::turned_away};
       return end(o, results[static_cast<int>(answer.outcome)], monotonic_now(), &answer, frame.data);
     }
-    case wire::Type::probed: {
-      wire::Probed probed;
-      wire::get(frame, probed);
+    case wire::FrameType::probe_reply: {
+      wire::ProbeReply probed;
+      wire::decode(frame, probed);
       const int o = find(probed.serial);
       if (o < 0 || !outs_[o].probe || outs_[o].line != at) return;
       wire::Answer answer;
       answer.load = probed.load;
-      return end(o, probed.outcome == wire::Outcome::ended ? Result::ended : Result::turned_away,
+      return end(o, probed.outcome == wire::Outcome::completed ? Result::ended : Result::turned_away,
                  monotonic_now(), &answer);
     }
     default:
-      throw wire::Malformed("a head takes no frame of this type from a node");
+      throw wire::MalformedFrame("a head takes no frame of this type from a node");
   }
 }
 
--- a/src/carrier/carrier.h
+++ b/src/carrier/carrier.h
@@ -50,7 +50,7 @@
   virtual void probe_ended(int node, Result result, Micros lag, const LoadReport& report) = 0;
 };
 
-class Carrier : public net::LinkOwner {
+class Carrier : public net::LinkHandler {
  public:
   Carrier(asio::io_context& io, Provision given, Told& told);
   ~Carrier() override;
--- a/src/catalogue/client.cpp
+++ b/src/catalogue/client.cpp
@@ -22,13 +22,13 @@
   if (connecting_ || link_) return;
   connecting_ = true;
   auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
-  const asio::ip::tcp::endpoint at(net::loopback(given_.address), given_.port);
+  const asio::ip::tcp::endpoint at(net::parse_loopback_address(given_.address), given_.port);
   socket->async_connect(at, [this, socket, alive = alive_](std::error_code error) {
     if (!*alive) return;
     connecting_ = false;
     if (!error) {
       link_ = std::make_shared<net::Link>(std::move(*socket), *this);
-      wire::put(link_->out(), wire::Hello{wire::Role::head, given_.head_name, -1, 0});
+      wire::encode(link_->out(), wire::Hello{wire::Role::head, given_.head_name, -1, 0});
       link_->start();
       link_->flush();
       return;
@@ -66,7 +66,7 @@
   if (!greeted_) return;
   link_->out() += call.frame;
   call.sent = true;
-  call.ends = link_->appended();
+  call.ends = link_->bytes_appended();
 }
 
 void Client::look(std::string_view volume, std::string_view name, std::int64_t until, Then then) {
@@ -75,7 +75,7 @@
   call.until = until;
   call.volume = volume, call.name = name;
   call.then = std::move(then);
-  wire::put(call.frame, wire::Look{number, volume, name});
+  wire::encode(call.frame, wire::Lookup{number, volume, name});
   send(call);
 }
 
@@ -85,19 +85,19 @@
   Call& call = calls_[number];
   call.until = until;
   call.then = std::move(then);
-  wire::put(call.frame, wire::Walk{number, after_volume, after_name, most});
+  wire::encode(call.frame, wire::Scan{number, after_volume, after_name, most});
   send(call);
 }
 
-void Client::alter(wire::Alter change, std::int64_t until, Then then) {
+void Client::alter(wire::ChangeRequest change, std::int64_t until, Then then) {
   const std::uint64_t number = ++last_;
   Call& call = calls_[number];
   call.change = true;
   call.until = until;
   call.volume = change.volume, call.name = change.name;
   call.then = std::move(then);
-  change.call = number;
-  wire::put(call.frame, change);
+  change.call_id = number;
+  wire::encode(call.frame, change);
   send(call);
 }
 
@@ -127,56 +127,56 @@
 void Client::on_frame(net::Link&, const wire::Frame& frame) {
   Result result;
   switch (frame.type) {
-    case wire::Type::hello: {
+    case wire::FrameType::hello: {
       wire::Hello hello;
-      wire::get(frame, hello);
-      if (hello.role != wire::Role::catalogue) throw wire::Malformed("no catalogue answers here");
+      wire::decode(frame, hello);
+      if (hello.role != wire::Role::catalogue) throw wire::MalformedFrame("no catalogue answers here");
       greeted_ = true;
       // Looks may be asked again; a change that was handed over on an earlier link never is.
       for (auto& [number, call] : calls_)
         if (!call.sent) send(call);
       return;
     }
-    case wire::Type::found: {
-      wire::Found found;
-      wire::get(frame, found);
-      result.fate = found.there ? Fate::done : Fate::absent;
+    case wire::FrameType::lookup_reply: {
+      wire::LookupReply found;
+      wire::decode(frame, found);
+      result.fate = found.exists ? Fate::done : Fate::absent;
       result.now = std::move(found.object);
-      if (const auto it = calls_.find(found.call); it != calls_.end() && found.there)
+      if (const auto it = calls_.find(found.call_id); it != calls_.end() && found.exists)
         keep(it->second.volume, it->second.name, result.now);
-      return end(found.call, std::move(result));
+      return end(found.call_id, std::move(result));
     }
-    case wire::Type::walked: {
-      wire::Walked walked;
-      wire::get(frame, walked);
+    case wire::FrameType::scan_reply: {
+      wire::ScanReply walked;
+      wire::decode(frame, walked);
       result.fate = Fate::done;
-      result.end = walked.end;
+      result.end = walked.at_end;
       result.entries = std::move(walked.entries);
-      return end(walked.call, std::move(result));
+      return end(walked.call_id, std::move(result));
     }
-    case wire::Type::changed: {
-      wire::Altered altered;
-      wire::get(frame, altered);
+    case wire::FrameType::change_reply: {
+      wire::ChangeReply altered;
+      wire::decode(frame, altered);
       static constexpr Fate fates[] = {Fate::done, Fate::conflict, Fate::absent, Fate::unwritable};
-      result.fate = fates[static_cast<int>(altered.changed)];
-      result.now = std::move(altered.now);
-      result.before = std::move(altered.before);
-      if (const auto it = calls_.find(altered.call); it != calls_.end()) {
+      result.fate = fates[static_cast<int>(altered.result)];
+      result.now = std::move(altered.current);
+      result.before = std::move(altered.previous);
+      if (const auto it = calls_.find(altered.call_id); it != calls_.end()) {
         if (result.fate == Fate::done && result.now.stamp > 0)
           keep(it->second.volume, it->second.name, result.now);
         else if (!it->second.name.empty() && kept(it->second.volume, it->second.name, 0))
           kept_[key_].until = 0;
       }
-      return end(altered.call, std::move(result));
+      return end(altered.call_id, std::move(result));
     }
     default:
-      throw wire::Malformed("a head takes no frame of this type from a catalogue");
+      throw wire::MalformedFrame("a head takes no frame of this type from a catalogue");
   }
 }
 
 void Client::on_closed(net::Link& link, const std::string& why) {
   logs::warn("catalogue lost", {{"why", why}});
-  const std::uint64_t handed = link.handed();
+  const std::uint64_t handed = link.bytes_written();
   greeted_ = false;
   link_.reset();
   std::vector<std::uint64_t> unknown;
--- a/src/catalogue/client.h
+++ b/src/catalogue/client.h
@@ -25,7 +25,7 @@
   Fate fate = Fate::unreachable;
   wire::Object now, before;
   bool end = false;  // of a walk: there is nothing after these
-  std::vector<wire::Walked::Entry> entries{};
+  std::vector<wire::ScanReply::Entry> entries{};
 };
 
 struct ClientProvision {
@@ -35,7 +35,7 @@
   std::size_t keep_most = 0;
 };
 
-class Client : public net::LinkOwner {
+class Client : public net::LinkHandler {
  public:
   using Then = std::function<void(Result&&)>;
   Client(asio::io_context& io, ClientProvision given);
@@ -47,7 +47,7 @@
   void look(std::string_view volume, std::string_view name, std::int64_t until, Then then);
   void walk(std::string_view after_volume, std::string_view after_name, int most, std::int64_t until,
             Then then);
-  void alter(wire::Alter change, std::int64_t until, Then then);
+  void alter(wire::ChangeRequest change, std::int64_t until, Then then);
 
   void expire(std::int64_t now);  // a few times a tick
   void flush();
--- a/src/catalogue/main.cpp
+++ b/src/catalogue/main.cpp
@@ -18,7 +18,7 @@
   app.add_option("--most-mib", most, "what its file may grow to")->check(CLI::Range(1, 16 << 20));
   CLI11_PARSE(app, argc, argv);
   try {
-    logs::start("yewmount-catalogue", "catalogue");
+    logs::init("yewmount-catalogue", "catalogue");
     asio::io_context io(1);
     std::signal(SIGPIPE, SIG_IGN);
     asio::signal_set signals(io, SIGTERM, SIGINT);
--- a/src/catalogue/server.h
+++ b/src/catalogue/server.h
@@ -11,7 +11,7 @@
 
 namespace yewmount::catalogue {
 
-class Server : public net::LinkOwner {
+class Server : public net::LinkHandler {
  public:
   Server(asio::io_context& io, Store& store, const std::string& address, std::uint16_t port);
   ~Server() override {
--- a/src/catalogue/store.cpp
+++ b/src/catalogue/store.cpp
@@ -49,7 +49,7 @@
   const auto size = static_cast<std::uint32_t>(name.size());
   for (int i = 0; i < 4; ++i) out += static_cast<char>(size >> (8 * i));
   out += name;
-  out += wire::pack(object);
+  out += wire::encode_object(object);
   return out;
 }
 
@@ -62,7 +62,7 @@
   if (bytes.size() < 4 + size) throw std::runtime_error("catalogue: an entry is cut short");
   if (!name.empty() && bytes.substr(4, size) != name) return false;
   if (whole_name) *whole_name = bytes.substr(4, size);
-  object = wire::unpack(bytes.substr(4 + size));
+  object = wire::decode_object(bytes.substr(4 + size));
   return true;
 }
 
@@ -131,15 +131,15 @@
   return read_value(view(v), name, object);
 }
 
-void Store::gather(const wire::Alter& c) {
-  changes_.push_back({c.change, c.condition, c.stamp, std::string(c.volume), std::string(c.name), c.object});
+void Store::gather(const wire::ChangeRequest& c) {
+  changes_.push_back({c.kind, c.condition, c.stamp, std::string(c.volume), std::string(c.name), c.object});
 }
 
 Outcome Store::apply(Disk& disk, void* handle, Change& c) {
   auto* txn = static_cast<MDB_txn*>(handle);
   Outcome out;
-  if (c.what == wire::Change::freed) {
-    for (const wire::Placed& p : c.object.extents) {
+  if (c.what == wire::ChangeKind::extents_freed) {
+    for (const wire::PlacedExtent& p : c.object.extents) {
       const std::string key = extent_key(p.extent);
       MDB_val k = val(key);
       const int code = mdb_del(txn, disk.freed, &k, nullptr);
@@ -153,18 +153,19 @@
   if (code != MDB_NOTFOUND) must("read", code);
   const bool there = code == MDB_SUCCESS;
   if (there && !read_value(view(v), c.name, out.before)) {
-    out.changed = wire::Changed::conflict;
+    out.changed = wire::ChangeResult::conflict;
     return out;
   }
   const bool fits = c.condition == wire::Condition::none ||
                     (c.condition == wire::Condition::absent && !there) ||
                     (c.condition == wire::Condition::present && there) ||
                     (c.condition == wire::Condition::stamp && there && out.before.stamp == c.stamp);
-  if (!fits || (c.what == wire::Change::drop && !there)) {
-    out.changed = there || c.what == wire::Change::put ? wire::Changed::conflict : wire::Changed::absent;
+  if (!fits || (c.what == wire::ChangeKind::remove && !there)) {
+    out.changed =
+        there || c.what == wire::ChangeKind::put ? wire::ChangeResult::conflict : wire::ChangeResult::absent;
     return out;
   }
-  for (const wire::Placed& p : out.before.extents) {
+  for (const wire::PlacedExtent& p : out.before.extents) {
     const std::string extent = extent_key(p.extent);
     std::string where;
     for (std::uint32_t half : {static_cast<std::uint32_t>(p.shard), p.length})
@@ -172,7 +173,7 @@
     MDB_val ek = val(extent), ev = val(where);
     must("note freed", mdb_put(txn, disk.freed, &ek, &ev, 0));
   }
-  if (c.what == wire::Change::drop) {
+  if (c.what == wire::ChangeKind::remove) {
     must("drop", mdb_del(txn, disk.objects, &k, nullptr));
     return out;
   }
@@ -205,14 +206,14 @@
     // Guards against an answer for what the disk did not take: full, read-only or failing, all are undone.
     why = e.what();
     Outcome none;
-    none.changed = wire::Changed::unwritable;
+    none.changed = wire::ChangeResult::unwritable;
     outcomes.assign(changes.size(), none);
   }
   return outcomes;
 }
 
 bool Store::walk(std::string_view volume, std::string_view name, int most,
-                 std::vector<wire::Walked::Entry>& out) const {
+                 std::vector<wire::ScanReply::Entry>& out) const {
   Txn txn(disk_->env, false);
   Cursor cursor(txn, disk_->objects);
   const bool first = volume.empty() && name.empty();
@@ -223,7 +224,7 @@
   if (code == MDB_SUCCESS && !first && view(k) == after) code = mdb_cursor_get(cursor.at, &k, &v, MDB_NEXT);
   for (; code == MDB_SUCCESS; code = mdb_cursor_get(cursor.at, &k, &v, MDB_NEXT)) {
     if (static_cast<int>(out.size()) >= most || extents >= kMostWalkedExtents) return false;
-    wire::Walked::Entry& e = out.emplace_back();
+    wire::ScanReply::Entry& e = out.emplace_back();
     const std::string_view key = view(k);
     e.volume = key.substr(0, key.find('\0'));
     read_value(view(v), {}, e.object, &e.name);
@@ -262,7 +263,7 @@
     wire::Object object;
     read_value(view(v), {}, object);
     ++size.objects;
-    for (const wire::Placed& p : object.extents) size.redirects += p.shard != p.home;
+    for (const wire::PlacedExtent& p : object.extents) size.redirects += p.shard != p.home_shard;
   }
   MDB_stat stat;
   must("stat", mdb_stat(txn, disk_->freed, &stat));
--- a/src/catalogue/store.h
+++ b/src/catalogue/store.h
@@ -12,7 +12,7 @@
 namespace yewmount::catalogue {
 
 struct Outcome {
-  wire::Changed changed = wire::Changed::done;
+  wire::ChangeResult changed = wire::ChangeResult::done;
   wire::Object now, before;
 };
 
@@ -27,7 +27,7 @@
   bool look(std::string_view volume, std::string_view name, wire::Object& object) const;
 
   // All or none of what one commit() makes durable is found after a crash. Within it changes apply in order.
-  void gather(const wire::Alter& change);
+  void gather(const wire::ChangeRequest& change);
   std::size_t gathered() const { return changes_.size(); }
   // One outcome for each gathered change; all unwritable where the disk did not take them.
   std::vector<Outcome> commit(std::string& why);
@@ -35,7 +35,7 @@
   // The objects after one in the order of their keys, so many at most; true: there are no more. Both empty:
   // from the first.
   bool walk(std::string_view volume, std::string_view name, int most,
-            std::vector<wire::Walked::Entry>& out) const;
+            std::vector<wire::ScanReply::Entry>& out) const;
   struct Freed {
     wire::ExtentId extent;
     int shard;
@@ -49,7 +49,7 @@
 
  private:
   struct Change {
-    wire::Change what;
+    wire::ChangeKind what;
     wire::Condition condition;
     std::uint64_t stamp;
     std::string volume, name;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -8,8 +8,8 @@
 #include "cli/plan.h"
 #include "days/runner.h"
 #include "judge/judge.h"
-#include "settings/checked.h"
-#include "settings/head.h"
+#include "settings/head_settings.h"
+#include "settings/json_schema.h"
 
 namespace {
 
@@ -52,12 +52,12 @@
   CLI11_PARSE(app, argc, argv);
   try {
     if (check->parsed()) {
-      const settings::HeadProvision given = settings::load_head(file);
+      const settings::HeadSettings given = settings::load_head_settings(file);
       std::cout << file << ": fine (" << given.groups.size() << " I/O groups, " << given.rules.plans.size()
                 << " plans, " << given.volumes.size() << " volumes)" << std::endl;
     } else if (schema->parsed()) {
       const std::string_view text = settings::schema(file);
-      if (text.empty()) throw settings::Bad("no schema is named '" + file + "'");
+      if (text.empty()) throw settings::SettingsError("no schema is named '" + file + "'");
       std::cout << text;
     } else if (run->parsed()) {
       const std::string self = std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
--- a/src/cli/plan.cpp
+++ b/src/cli/plan.cpp
@@ -6,7 +6,7 @@
 #include "judge/plan.h"
 #include "plans/problem.h"
 #include "plans/report.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 #include "solver/clash.h"
 
 namespace yewmount::cli {
@@ -54,7 +54,7 @@
     try {
       best = judge::brute_force(plans::problem_json(p), kMostBrute);
     } catch (const std::exception& e) {
-      throw settings::Bad(e.what());
+      throw settings::SettingsError(e.what());
     }
     const auto& f = a.figures;
     const bool same =
@@ -72,11 +72,11 @@
     if (!a.met) return not_met(p);
     const std::uint64_t next = number > 0 ? number : before.number + 1;
     if (next <= before.number)
-      throw settings::Bad("--number " + std::to_string(next) + ": heads hold plan " +
+      throw settings::SettingsError("--number " + std::to_string(next) + ": heads hold plan " +
                           std::to_string(before.number) + " and take only a later one");
     const std::string text = plans::plan_json(p, a, next).dump(1) + "\n";
     if (!out.empty())
-      if (const std::string why = write_file(out, text); !why.empty()) throw settings::Bad(why);
+      if (const std::string why = write_file(out, text); !why.empty()) throw settings::SettingsError(why);
     if (json)
       std::cout << text;
     else
--- a/src/cli/plan.h
+++ b/src/cli/plan.h
@@ -10,8 +10,8 @@
   explicit PlanCommands(CLI::App& app);
   ~PlanCommands();
   bool parsed() const;
-  // Exit code: 0, 1 (brute force says otherwise), 3 (can't be met). Throws settings::Bad for what can't be
-  // read.
+  // Exit code: 0, 1 (brute force says otherwise), 3 (can't be met). Throws settings::SettingsError for what
+  // can't be read.
   int run() const;
 
  private:
--- a/src/days/runner.cpp
+++ b/src/days/runner.cpp
@@ -13,7 +13,7 @@
 
 #include "base/base.h"
 #include "days/processes.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 #include "standins/lines.h"
 
 namespace yewmount::days {
@@ -151,13 +151,14 @@
   static json load(const std::string& file) {
     const auto read = [](const std::string& path) {
       std::string text;
-      if (const std::string why = read_file(path, text); !why.empty()) throw settings::Bad(why);
+      if (const std::string why = read_file(path, text); !why.empty()) throw settings::SettingsError(why);
       return settings::parse(text, path);
     };
     json day = read(file);
     fs::path folder = fs::path(file).parent_path();
     for (int depth = 0; day.is_object() && day.contains("like") && day["like"].is_string(); ++depth) {
-      if (depth == 8) throw settings::Bad(file + ": /like: days that are like one another in a circle");
+      if (depth == 8)
+        throw settings::SettingsError(file + ": /like: days that are like one another in a circle");
       const fs::path path = folder / day["like"].get<std::string>();
       json like = read(path.string());
       day.erase("like");
@@ -173,20 +174,23 @@
     std::map<std::string, bool> names;
     for (const json& n : day_.at("nodes"))
       if (!names.emplace(n.at("name").get<std::string>(), true).second)
-        throw settings::Bad("node '" + n.at("name").get<std::string>() + "' stands twice in the day");
+        throw settings::SettingsError("node '" + n.at("name").get<std::string>() +
+                                      "' stands twice in the day");
     for (const json& s : day_.value("script", json::array())) {
       if (s.contains("node") && !names.count(s["node"].get<std::string>()))
-        throw settings::Bad("the script names an unknown node '" + s["node"].get<std::string>() + "'");
+        throw settings::SettingsError("the script names an unknown node '" + s["node"].get<std::string>() +
+                                      "'");
       if (s.contains("head") && s["head"].get<int>() >= day_.at("heads").get<int>())
-        throw settings::Bad("the script names an unknown head " + s["head"].dump());
+        throw settings::SettingsError("the script names an unknown head " + s["head"].dump());
     }
     for (const json& s : day_.value("script", json::array()))
       if ((s.at("do") == "replan" || s.at("do") == "plan_text") && !day_.contains("planning"))
-        throw settings::Bad("the script tells of plans in a day without planning");
+        throw settings::SettingsError("the script tells of plans in a day without planning");
     for (const json& v : day_.at("volumes"))
       for (const json& h : v.at("heads"))
         if (h.get<int>() >= day_.at("heads").get<int>())
-          throw settings::Bad("volume '" + v.at("name").get<std::string>() + "' names an unknown head");
+          throw settings::SettingsError("volume '" + v.at("name").get<std::string>() +
+                                        "' names an unknown head");
   }
 
   void start_catalogue() {
@@ -396,7 +400,7 @@
         then({{"do", "kill_node"}, {"node", node.name}}, for_ms);
         if (step.contains("successor")) then({{"do", "start_node"}, {"node", step["successor"]}}, for_ms);
       } else {
-        throw settings::Bad("unknown step '" + what + "' for a node");
+        throw settings::SettingsError("unknown step '" + what + "' for a node");
       }
     } else if (step.contains("head")) {
       HeadRun& head = *heads_.at(step["head"].get<std::size_t>());
@@ -415,7 +419,7 @@
         head.process.signal(SIGCONT);
         say({{"ev", "head_went_on"}, {"head", head.name}});
       } else {
-        throw settings::Bad("unknown step '" + what + "' for a head");
+        throw settings::SettingsError("unknown step '" + what + "' for a head");
       }
     } else if (what == "list") {
       command(list_control_, step.at("command"));
@@ -435,7 +439,7 @@
       start_catalogue();
       say({{"ev", "catalogue_started"}});
     } else {
-      throw settings::Bad("unknown step '" + what + "'");
+      throw settings::SettingsError("unknown step '" + what + "'");
     }
     return later;
   }
--- a/src/head/daemon.cpp
+++ b/src/head/daemon.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 
 #include "base/base.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 #include "sums/sums.h"
 
 namespace yewmount::head {
@@ -19,17 +19,17 @@
 
 }  // namespace
 
-Daemon::Daemon(asio::io_context& io, settings::HeadProvision given)
+Daemon::Daemon(asio::io_context& io, settings::HeadSettings given)
     : io_(io),
       given_(std::move(given)),
-      start_(fresh_number()),
-      carrier_(
-          io,
-          {given_.name, given_.connections, given_.streams, given_.connect_within, given_.connection_idle},
-          *this),
+      start_(random_id()),
+      carrier_(io,
+               {given_.name, given_.connections_per_node, given_.submits_per_connection,
+                given_.connect_timeout, given_.connection_idle_timeout},
+               *this),
       list_(io, {given_.list.address, given_.name, given_.list_file, given_.list.port}, *this),
-      catalogue_(io, {given_.catalogue.address, given_.name, given_.catalogue.port, given_.catalogue_keep,
-                      given_.catalogue_keep_most}),
+      catalogue_(io, {given_.catalogue.address, given_.name, given_.catalogue.port,
+                      given_.catalogue_cache_ttl, given_.catalogue_cache_max_entries}),
       started_(monotonic_now()) {
   // Ids of two starts must not meet at a node: a part of each is this start's own.
   last_serial_ = (start_ & 0xfffff) << 28;
@@ -40,17 +40,17 @@
   start_scrub();
   list_.start(started_);
   take_plan();
-  door_ = std::make_unique<door::Door>(
-      io, given_.listen.address, given_.listen.port,
-      door::Provision{given_.most_clients, given_.most_header, given_.client_idle, given_.header_within},
-      *this);
+  door_ = std::make_unique<door::Door>(io, given_.listen.address, given_.listen.port,
+                                       door::Provision{given_.max_clients, given_.max_header_bytes,
+                                                       given_.client_idle_timeout, given_.header_timeout},
+                                       *this);
 }
 
 Daemon::~Daemon() = default;
 
 void Daemon::run() {
   while (true) {
-    turns::gather(io_, wakes_.next(monotonic_now() + 50'000));
+    event_loop::run_handlers(io_, wakes_.next(monotonic_now() + 50'000));
     const Micros began = monotonic_now();
     turn();
     counts_.longest_turn = std::max(counts_.longest_turn, monotonic_now() - began);
@@ -68,7 +68,7 @@
   turned_ = now;
   rules_->at(now);
   carrier_.deliver(now);
-  wakes_.due(now, [&](std::uint64_t token) {
+  wakes_.run_due(now, [&](std::uint64_t token) {
     rules_->woke(token);
     catalogue_.expire(now);
   });
@@ -85,7 +85,7 @@
   swept_ = monotonic_now();
   door_->sweep(swept_);
   list_.tidy();
-  uses_.tidy(swept_ - 60 * kSecond, [&](int index) { return rules_->forget_volume(index); });
+  uses_.release_unused(swept_ - 60 * kSecond, [&](int index) { return rules_->forget_volume(index); });
 }
 
 void Daemon::drain() {
@@ -96,13 +96,15 @@
   door_->close_idle();
 }
 
-std::string Daemon::reload(settings::HeadProvision given) {
-  for (const auto& [key, value] : given_.fixed.items())
-    if (given.fixed.value(key, nlohmann::json()) != value) return "'" + key + "' changes only with a restart";
-  for (const auto& [key, value] : given.fixed.items())
-    if (!given_.fixed.contains(key)) return "'" + key + "' changes only with a restart";
-  logs::level(given.log_level);
-  door_->provide({given.most_clients, given.most_header, given.client_idle, given.header_within});
+std::string Daemon::reload(settings::HeadSettings given) {
+  for (const auto& [key, value] : given_.restart_only.items())
+    if (given.restart_only.value(key, nlohmann::json()) != value)
+      return "'" + key + "' changes only with a restart";
+  for (const auto& [key, value] : given.restart_only.items())
+    if (!given_.restart_only.contains(key)) return "'" + key + "' changes only with a restart";
+  logs::set_level(given.log_level);
+  door_->provide(
+      {given.max_clients, given.max_header_bytes, given.client_idle_timeout, given.header_timeout});
   given.rules = given_.rules;
   given_ = std::move(given);
   tell_plans();  // a volume may have come, gone, or changed its plan in the settings
@@ -113,13 +115,13 @@
 
 // What an earlier start took still holds: a restart must not go back, whatever file stands there now.
 void Daemon::remember_plan() {
-  if (given_.plan_held.empty()) return;
+  if (given_.applied_plan_file.empty()) return;
   std::string text;
-  if (const std::string why = read_file(given_.plan_held, text); !why.empty()) {
-    if (::access(given_.plan_held.c_str(), F_OK) != 0) return;  // none was ever taken
+  if (const std::string why = read_file(given_.applied_plan_file, text); !why.empty()) {
+    if (::access(given_.applied_plan_file.c_str(), F_OK) != 0) return;  // none was ever taken
     throw std::runtime_error(why);
   }
-  plan_.remember(plans::read_plan(text, given_.plan_held));
+  plan_.remember(plans::read_plan(text, given_.applied_plan_file));
   logs::info("plan held", {{"number", plan_.held().number}, {"volumes", plan_.held().volumes.size()}});
   tell_plans();
 }
@@ -140,10 +142,11 @@
     if (outcome.verdict == Verdict::same) return;
     // Kept before it is acted on: what a head once held it never goes behind.
     if (outcome.verdict == Verdict::taken)
-      if (outcome.why = write_file(given_.plan_held, plans::plan_text(offered.held())); !outcome.why.empty())
+      if (outcome.why = write_file(given_.applied_plan_file, plans::plan_text(offered.held()));
+          !outcome.why.empty())
         outcome.verdict = Verdict::turned_down;
     if (outcome.verdict == Verdict::taken) plan_ = std::move(offered);
-  } catch (const settings::Bad& e) {
+  } catch (const settings::SettingsError& e) {
     outcome.why = e.what();
   }
   if (outcome.verdict == Verdict::turned_down) {
@@ -188,7 +191,7 @@
 
 // --- the list ---------------------------------------------------------------------------------------------
 
-void Daemon::listed(ListKind kind, std::span<const NodeEntry> entries) {
+void Daemon::on_membership(ListKind kind, std::span<const NodeEntry> entries) {
   if (kind != ListKind::failed)
     for (const NodeEntry& e : entries) {
       const list::Known& n = list_.node(e.node);
@@ -210,9 +213,9 @@
   Work& w = works_[work_index_.find(id)];
   wire::Submit s;
   s.id = id;
-  s.no = w.submits++;
+  s.attempt = w.submits++;
   s.kind = w.kind;
-  s.repeat = static_cast<wire::Repeat>(given_.rules.groups[w.group].repeat);
+  s.idempotency = static_cast<wire::Idempotency>(given_.rules.groups[w.group].repeat);
   s.group = given_.groups[w.group];
   s.volume = w.volume;
   s.object = w.object;
@@ -220,11 +223,11 @@
   s.offset = w.offset, s.length = w.length;
   s.units = w.units;
   s.fingerprint = w.fingerprint;
-  s.try_for = try_for;
-  if (w.kind == wire::Kind::write) s.sum = w.sum;
+  s.timeout = try_for;
+  if (w.kind == wire::IoKind::write) s.checksum = w.sum;
   ++w.outs;
   ++counts_.submits;
-  if (s.no > 0) ++counts_.further;
+  if (s.attempt > 0) ++counts_.further;
   carrier_.submit(node, s, w.data, monotonic_now(), try_for);
 }
 
@@ -242,7 +245,7 @@
 
 void Daemon::wake(std::uint64_t token, Micros from_now) { wakes_.add(monotonic_now() + from_now, token); }
 
-void Daemon::probe(int node) { carrier_.probe(node, monotonic_now(), given_.connect_within); }
+void Daemon::probe(int node) { carrier_.probe(node, monotonic_now(), given_.connect_timeout); }
 
 void Daemon::note(std::string_view text) { logs::info("module", {{"says", text}}); }
 
@@ -284,7 +287,7 @@
 // Not a byte goes on that isn't what was written: a flipped bit at rest or under way, a cut, another extent's
 // data. What was read wrong counts as an error of its node and may be read again.
 void Daemon::check_sums(Work& w, carrier::Ended& ended) {
-  if (w.kind != wire::Kind::read || ended.missing || w.sum == 0) return;
+  if (w.kind != wire::IoKind::read || ended.missing || w.sum == 0) return;
   const std::string_view why =
       sums::fault(w.extent, w.extent_length, w.sum, {w.offset, w.length}, ended.data, ended.sums);
   if (why.empty()) return;
@@ -303,14 +306,14 @@
 
 // --- block I/Os -------------------------------------------------------------------------------------------
 
-int Daemon::take(int exchange, wire::Kind kind, int group, const wire::Placed& extent, std::uint32_t offset,
-                 std::uint32_t length, std::string data, Step next) {
+int Daemon::take(int exchange, wire::IoKind kind, int group, const wire::PlacedExtent& extent,
+                 std::uint32_t offset, std::uint32_t length, std::string data, Step next) {
   Exchange& e = exchanges_[exchange];
   const auto known = given_.volumes.find(e.ask.volume);
   const settings::Volume volume = known != given_.volumes.end() ? known->second : settings::Volume{};
   // What goes on in the background draws nothing of what its volume is due.
   const Micros now = monotonic_now();
-  const int volume_index = uses_.use(e.background ? std::string("/background") : e.ask.volume, now);
+  const int volume_index = uses_.acquire(e.background ? std::string("/background") : e.ask.volume, now);
   // The number is given as it is taken, so that ids tell the order in which this head took them.
   if (e.serial == 0) e.serial = ++last_serial_;
   const int at = works_.claim_as_left();
@@ -324,7 +327,7 @@
   w.group = group;
   w.extent = extent.extent;
   w.extent_length = extent.length;
-  w.sum = extent.sum;
+  w.sum = extent.checksum;
   w.offset = offset, w.length = length;
   w.units = given_.units_for(length);
   w.volume = e.ask.volume, w.object = e.ask.object;
@@ -345,7 +348,7 @@
   // patience.
   const bool answering = e.session && e.session->answering();
   if (!answering) give_up = std::min(give_up, e.answer_by);
-  if (kind == wire::Kind::write) give_up -= given_.catalogue_allow;
+  if (kind == wire::IoKind::write) give_up -= given_.catalogue_time_reserve;
   rules_->at(now);
   rules_->take({.id = w.id,
                 .object = key,
@@ -353,7 +356,7 @@
                 .group = group,
                 .plan = e.background ? given_.scrub.plan : plan_of(w.volume),
                 .volume = volume_index,
-                .shard = kind == wire::Kind::write ? -1 : extent.shard,
+                .shard = kind == wire::IoKind::write ? -1 : extent.shard,
                 .units = w.units,
                 .heads = volume.heads});
   return at;
@@ -367,11 +370,11 @@
   const bool ran = final == Final::ended || final == Final::missing || w.may_have_run || w.outs > 0;
   e.may_have_run |= ran;
   e.effect |=
-      ran && w.kind != wire::Kind::read && given_.rules.groups[w.group].repeat == Repeat::side_effecting;
+      ran && w.kind != wire::IoKind::read && given_.rules.groups[w.group].repeat == Repeat::side_effecting;
   e.advice = advice;
-  if (w.kind == wire::Kind::read) e.damaged = w.damaged > 0 && final != Final::ended;
+  if (w.kind == wire::IoKind::read) e.damaged = w.damaged > 0 && final != Final::ended;
   // What was written and where is read by the step; then the place is free, whatever is still out.
-  if (final == Final::ended && w.kind == wire::Kind::write) {
+  if (final == Final::ended && w.kind == wire::IoKind::write) {
     const std::uint64_t key = stable_hash(w.volume + '/' + w.object);
     const int home = rules_->home(key, plan_of(w.volume));
     e.object.extents.push_back(
@@ -489,13 +492,13 @@
     session.close_after();
     return refuse(503, "this head is draining");
   }
-  if (static_cast<int>(open_.size()) >= given_.most_in_hand) return refuse(503, "too much in hand");
+  if (static_cast<int>(open_.size()) >= given_.max_requests_in_flight) return refuse(503, "too much in hand");
   if (!given_.volumes.contains(ask.volume)) return refuse(404, "no such volume");
   if (ask.object.empty()) return refuse(404, "an object is named after the volume");
-  if (ask.method == door::Method::put && ask.length > static_cast<std::int64_t>(given_.most_object))
+  if (ask.method == door::Method::put && ask.length > static_cast<std::int64_t>(given_.max_object_bytes))
     return refuse(413, "larger than an object may be");
   const auto method = ask.method == door::Method::put    ? settings::Method::put
-                      : ask.method == door::Method::drop ? settings::Method::drop
+                      : ask.method == door::Method::drop ? settings::Method::remove
                                                          : settings::Method::get;
   const int group = given_.group_for(ask.volume, method, std::max<std::int64_t>(ask.length, 0));
   if (group < 0 && ask.method != door::Method::drop) return refuse(403, "no I/O group takes this");
@@ -514,8 +517,8 @@
       e.answer_by = INT64_MAX;  // a block I/O is taken, and time counts, when its bytes are here
       return;
     case door::Method::drop: {
-      wire::Alter alter;
-      alter.change = wire::Change::drop;
+      wire::ChangeRequest alter;
+      alter.kind = wire::ChangeKind::remove;
       alter.volume = ask.volume, alter.name = ask.object;
       alter.condition = ask.if_stamp ? wire::Condition::stamp : wire::Condition::none;
       alter.stamp = ask.if_stamp;
@@ -620,12 +623,13 @@
       answer_failed(e, "its extents don't make up its length"), over(at);
     return;
   }
-  const wire::Placed& p = e.object.extents[e.at];
+  const wire::PlacedExtent& p = e.object.extents[e.at];
   const auto offset = static_cast<std::uint32_t>(e.from - begin);
   const auto length = static_cast<std::uint32_t>(std::min<std::uint64_t>(e.left, p.length - offset));
-  const sums::Part part = p.sum != 0 ? sums::covering(offset, length, p.length) : sums::Part{offset, length};
+  const sums::Part part =
+      p.checksum != 0 ? sums::covering(offset, length, p.length) : sums::Part{offset, length};
   e.skip = offset - part.offset, e.want = length;
-  take(at, wire::Kind::read, e.group, p, part.offset, part.length, {}, &Daemon::read_done);
+  take(at, wire::IoKind::read, e.group, p, part.offset, part.length, {}, &Daemon::read_done);
 }
 
 void Daemon::read_done(int at, Final final, std::string_view data) {
@@ -688,7 +692,7 @@
   Exchange& e = exchanges_[at];
   if (e.ask.method != door::Method::put) return;  // a body that nothing asked for
   e.body_bytes += bytes.size();
-  if (e.body_bytes > given_.most_object) {
+  if (e.body_bytes > given_.max_object_bytes) {
     if (e.work >= 0) {
       session.cut();
       return;
@@ -734,11 +738,11 @@
     e.body.erase(0, length);
   }
   if (!e.body_done) e.session->hold_body(false);
-  wire::Placed placed;
+  wire::PlacedExtent placed;
   placed.extent = {start_, ++last_extent_};
   placed.length = length;
-  placed.sum = sums::whole(placed.extent, data);
-  take(at, wire::Kind::write, e.group, placed, 0, length, std::move(data), &Daemon::write_done);
+  placed.checksum = sums::whole(placed.extent, data);
+  take(at, wire::IoKind::write, e.group, placed, 0, length, std::move(data), &Daemon::write_done);
 }
 
 void Daemon::write_done(int at, Final final, std::string_view) {
@@ -759,8 +763,8 @@
 void Daemon::record(int at) {
   Exchange& e = exchanges_[at];
   e.object.length = e.body_bytes;
-  wire::Alter alter;
-  alter.change = wire::Change::put;
+  wire::ChangeRequest alter;
+  alter.kind = wire::ChangeKind::put;
   alter.volume = e.ask.volume, alter.name = e.ask.object;
   alter.condition = e.ask.if_absent    ? wire::Condition::absent
                     : e.ask.if_stamp   ? wire::Condition::stamp
@@ -821,23 +825,23 @@
 // Extents that no object names any more: a block I/O each on behalf of no client. What doesn't end stays in
 // the catalogue's table of freed ones.
 void Daemon::discard(const std::string& volume, const std::string& object, const wire::Object& old) {
-  const int group = given_.group_for(volume, settings::Method::drop, 0);
+  const int group = given_.group_for(volume, settings::Method::remove, 0);
   if (group < 0) return;
-  for (const wire::Placed& p : old.extents) {
+  for (const wire::PlacedExtent& p : old.extents) {
     const int at = open_exchange();
     Exchange& e = exchanges_[at];
     e.group = group;
     e.ask.volume = volume, e.ask.object = object;
     e.object.extents.push_back(p);
-    take(at, wire::Kind::discard, group, p, 0, p.length, {}, &Daemon::discard_done);
+    take(at, wire::IoKind::discard, group, p, 0, p.length, {}, &Daemon::discard_done);
   }
 }
 
 void Daemon::discard_done(int at, Final final, std::string_view) {
   Exchange& e = exchanges_[at];
   if (final == Final::ended || final == Final::missing) {
-    wire::Alter alter;
-    alter.change = wire::Change::freed;
+    wire::ChangeRequest alter;
+    alter.kind = wire::ChangeKind::extents_freed;
     alter.object.extents = e.object.extents;
     catalogue_.alter(alter, monotonic_now() + kSecond, [](catalogue::Result&&) {});
   }
--- a/src/head/daemon.h
+++ b/src/head/daemon.h
@@ -14,12 +14,12 @@
 #include "carrier/carrier.h"
 #include "catalogue/client.h"
 #include "door/session.h"
+#include "event_loop/event_loop.h"
 #include "list/follower.h"
 #include "plans/plan.h"
 #include "rules/rules.h"
 #include "rules/slab.h"
-#include "settings/head.h"
-#include "turns/turns.h"
+#include "settings/head_settings.h"
 
 namespace yewmount::head {
 
@@ -33,7 +33,7 @@
 class Daemon : public Surroundings, public carrier::Told, public list::Told, public door::Service {
  public:
   // Throws one line: what can't be bound, read or believed.
-  Daemon(asio::io_context& io, settings::HeadProvision given);
+  Daemon(asio::io_context& io, settings::HeadSettings given);
   ~Daemon() override;
 
   std::uint16_t port() const { return door_->port(); }
@@ -41,7 +41,7 @@
   // Takes nothing new; run() returns once all in hand have their final answer.
   void drain();
   // What may change while it runs; a line that says why not, or empty.
-  std::string reload(settings::HeadProvision given);
+  std::string reload(settings::HeadSettings given);
   // The plan file as it stands now, taken whole or not at all; says in the log which, and why.
   void take_plan();
   const Counts& counts() const { return counts_; }
@@ -56,7 +56,7 @@
     std::uint64_t id = 0, fingerprint = 0;
     int exchange = -1, group = 0, units = 1, submits = 0, outs = 0, shard = -1, volume_index = -1;
     bool live = false, may_have_run = false;
-    wire::Kind kind = wire::Kind::read;
+    wire::IoKind kind = wire::IoKind::read;
     wire::ExtentId extent;
     std::uint32_t offset = 0, length = 0, extent_length = 0;
     std::uint64_t sum = 0;  // of the whole extent; 0: none is known
@@ -118,7 +118,7 @@
   void submit_ended(const carrier::Ended& ended) override;
   void probe_ended(int node, Result result, Micros lag, const LoadReport& report) override;
   // list::Told
-  void listed(ListKind kind, std::span<const NodeEntry> entries) override;
+  void on_membership(ListKind kind, std::span<const NodeEntry> entries) override;
   bool may_reuse(int node) override;
   // Surroundings
   void submit(std::uint64_t id, int node, Micros try_for) override;
@@ -156,7 +156,7 @@
   struct Scrub {
     background::Scheduler scheduler;
     background::Round round;
-    std::deque<wire::Walked::Entry> page;
+    std::deque<wire::ScanReply::Entry> page;
     std::size_t extent = 0;  // of the first entry of the page
     bool walking = false, reading = false, last_page = false, told_starved = false;
     Micros next_round = 0, saved = 0;
@@ -171,7 +171,7 @@
   nlohmann::json scrub_report() const;
 
   void check_sums(Work& w, carrier::Ended& ended);
-  int take(int exchange, wire::Kind kind, int group, const wire::Placed& extent, std::uint32_t offset,
+  int take(int exchange, wire::IoKind kind, int group, const wire::PlacedExtent& extent, std::uint32_t offset,
            std::uint32_t length, std::string data, Step next);
   void conclude(int work, Final final, std::string_view data, Micros advice = 0);
   void answer_shed(Exchange& e);
@@ -185,7 +185,7 @@
   std::function<void(catalogue::Result&&)> then(int exchange, void (Daemon::*step)(int, catalogue::Result&&));
 
   asio::io_context& io_;
-  settings::HeadProvision given_;
+  settings::HeadSettings given_;
   std::uint64_t start_;
   carrier::Carrier carrier_;
   list::Follower list_;
@@ -196,11 +196,11 @@
   Slab<Work> works_;
   TicketIndex work_index_;
   DensePlaces open_, in_hand_;
-  turns::Indices<std::string> uses_;
+  event_loop::IndexPool<std::string> uses_;
   plans::Holder plan_;
   std::unordered_map<std::string, PlannedVolume> planned_;
   std::vector<Plan> all_plans_;  // of the settings, then one for each volume that a plan ever spoke of
-  turns::Wakes wakes_;
+  event_loop::TimerList wakes_;
   std::unique_ptr<Scrub> scrub_;
   Counts counts_;
   std::string headers_;  // of the answer that is being made
--- a/src/head/main.cpp
+++ b/src/head/main.cpp
@@ -8,7 +8,7 @@
 #include "base/base.h"
 #include "head/daemon.h"
 #include "relay/relay.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace {
 
@@ -36,16 +36,16 @@
 };
 
 int serve(const std::string& file) {
-  settings::HeadProvision given = settings::load_head(file);
-  logs::start("yewmountd", given.name);
-  logs::level(given.log_level);
+  settings::HeadSettings given = settings::load_head_settings(file);
+  logs::init("yewmountd", given.name);
+  logs::set_level(given.log_level);
   asio::io_context io(1);
   const std::string name = given.name;
   std::unique_ptr<head::Daemon> daemon;
   Signals signals(io, [&](int signal) {
     if (signal != SIGHUP) return daemon->drain();
     try {
-      const std::string why = daemon->reload(settings::load_head(file));
+      const std::string why = daemon->reload(settings::load_head_settings(file));
       if (why.empty())
         logs::info("settings taken", {{"file", file}});
       else
@@ -65,7 +65,7 @@
 }
 
 int serve_platform(const std::string& file, const std::string& level) {
-  logs::start("yewmountd", "");
+  logs::init("yewmountd", "");
   asio::io_context io(1);
   std::unique_ptr<relay::Relay> relay;
   Signals signals(io, [&](int signal) {
@@ -79,8 +79,8 @@
     }
   });
   relay::Deployment given = relay::load(file);
-  logs::start("yewmountd", given.name);
-  logs::level(level);
+  logs::init("yewmountd", given.name);
+  logs::set_level(level);
   relay = std::make_unique<relay::Relay>(io, std::move(given));
   relay->trace(level == "debug");
   logs::info("serving", {{"port", relay->port()}});
--- a/src/head/scrubbing.cpp
+++ b/src/head/scrubbing.cpp
@@ -4,7 +4,7 @@
 
 #include "base/base.h"
 #include "head/daemon.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace yewmount::head {
 namespace {
@@ -17,12 +17,12 @@
 }  // namespace
 
 void Daemon::start_scrub() {
-  const settings::Scrubbing& s = given_.scrub;
+  const settings::ScrubSettings& s = given_.scrub;
   if (s.group < 0) return;
   background::Provisioning p;
   const double burst = 2.0 * given_.rules.most_units;
-  p.classes.fill({s.units_a_second, burst});
-  p.all = {s.units_a_second, burst};
+  p.classes.fill({s.units_per_second, burst});
+  p.all = {s.units_per_second, burst};
   p.calm_from = s.calm_from;
   p.rest = s.rest;
   scrub_ = std::make_unique<Scrub>(
@@ -30,13 +30,13 @@
   background::Round& round = scrub_->round;
   round.began_wall = wall_now();
   std::string text;
-  if (const std::string why = read_file(s.cursor, text); !why.empty()) {
-    if (::access(s.cursor.c_str(), F_OK) == 0) throw std::runtime_error(why);
+  if (const std::string why = read_file(s.cursor_file, text); !why.empty()) {
+    if (::access(s.cursor_file.c_str(), F_OK) == 0) throw std::runtime_error(why);
     return;
   }
   // Damaged, it says nothing that could be trusted: the round begins anew, which harms nothing.
   try {
-    const nlohmann::json j = settings::parse(text, s.cursor);
+    const nlohmann::json j = settings::parse(text, s.cursor_file);
     round.number = j.at("round"), round.volume = j.at("volume"), round.object = j.at("object");
     round.objects = j.at("objects"), round.extents = j.at("extents"), round.damaged = j.at("damaged");
     round.missing = j.at("missing"), round.last_objects = j.at("last_objects");
@@ -58,7 +58,7 @@
                             {"missing", r.missing},
                             {"last_objects", r.last_objects},
                             {"began_wall_us", r.began_wall}};
-  if (const std::string why = write_file(given_.scrub.cursor, j.dump() + "\n"); !why.empty())
+  if (const std::string why = write_file(given_.scrub.cursor_file, j.dump() + "\n"); !why.empty())
     logs::error("scrub cursor not written", {{"why", why}});
 }
 
@@ -85,7 +85,7 @@
                                     {"missing", s.round.missing}});
     s.round.over(wall_now());
     s.last_page = false;
-    s.next_round = now + given_.scrub.between;
+    s.next_round = now + given_.scrub.pause_between_rounds;
     s.scheduler.wants(now, background::Class::scrub, false);
     return save_scrub();
   }
@@ -100,7 +100,7 @@
   if (page.fate != catalogue::Fate::done) return;  // it is away: asked again
   s.last_page = page.end;
   s.extent = 0;
-  for (wire::Walked::Entry& e : page.entries) s.page.push_back(std::move(e));
+  for (wire::ScanReply::Entry& e : page.entries) s.page.push_back(std::move(e));
 }
 
 // The next extent of this head's part: objects by their hash, so that heads share the work without a word. A
@@ -108,19 +108,19 @@
 void Daemon::scrub_step(Micros now) {
   Scrub& s = *scrub_;
   while (!s.page.empty()) {
-    const wire::Walked::Entry& e = s.page.front();
+    const wire::ScanReply::Entry& e = s.page.front();
     const auto heads = static_cast<std::uint64_t>(given_.rules.heads);
     const bool own =
         stable_hash(e.volume + '/' + e.name) % heads == static_cast<std::uint64_t>(given_.rules.own_number);
-    while (own && s.extent < e.object.extents.size() && e.object.extents[s.extent].sum == 0) ++s.extent;
+    while (own && s.extent < e.object.extents.size() && e.object.extents[s.extent].checksum == 0) ++s.extent;
     if (own && s.extent < e.object.extents.size()) break;
     s.round.passed(e.volume, e.name);
     s.page.pop_front();
     s.extent = 0;
   }
   if (s.page.empty()) return;
-  const wire::Walked::Entry& e = s.page.front();
-  const wire::Placed p = e.object.extents[s.extent];
+  const wire::ScanReply::Entry& e = s.page.front();
+  const wire::PlacedExtent p = e.object.extents[s.extent];
   if (!s.scheduler.begin(now, background::Class::scrub, given_.units_for(p.length))) return;
   const int at = open_exchange();
   Exchange& x = exchanges_[at];
@@ -130,13 +130,13 @@
   x.object.stamp = e.object.stamp;
   x.object.extents.push_back(p);
   s.reading = true;
-  take(at, wire::Kind::read, x.group, p, 0, p.length, {}, &Daemon::scrub_read);
+  take(at, wire::IoKind::read, x.group, p, 0, p.length, {}, &Daemon::scrub_read);
 }
 
 void Daemon::scrub_read(int at, Final final, std::string_view) {
   Scrub& s = *scrub_;
   Exchange& x = exchanges_[at];
-  const wire::Placed p = x.object.extents.front();
+  const wire::PlacedExtent p = x.object.extents.front();
   const bool done = final == Final::ended || final == Final::missing || x.damaged;
   s.reading = false;
   s.scheduler.ended(monotonic_now(), background::Class::scrub, done);
--- a/src/list/follower.cpp
+++ b/src/list/follower.cpp
@@ -6,7 +6,7 @@
 #include <stdexcept>
 
 #include "base/base.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace yewmount::list {
 namespace {
@@ -50,7 +50,7 @@
   } else if (::access(given_.file.c_str(), F_OK) == 0) {
     throw std::runtime_error(why);
   }
-  told_.listed(ListKind::cached, entries);
+  told_.on_membership(ListKind::cached, entries);
 }
 
 void Follower::save() {
@@ -79,14 +79,14 @@
 void Follower::ask(bool watch) {
   ++answers_due_;
   if (greeted_) {
-    wire::put(link_->out(), wire::AskList{watch, version_});
+    wire::encode(link_->out(), wire::ListRequest{watch, version_});
     return;
   }
   asks_.push_back(watch);
   if (connecting_ || link_) return;
   connecting_ = true;
   auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
-  socket->async_connect({net::loopback(given_.address), given_.port},
+  socket->async_connect({net::parse_loopback_address(given_.address), given_.port},
                         [this, socket, alive = alive_](std::error_code error) {
                           if (!*alive) return;
                           connecting_ = false;
@@ -94,11 +94,11 @@
                             logs::debug("list away", {{"why", error.message()}});
                             asks_.clear();
                             answers_due_ = 0;
-                            told_.listed(ListKind::failed, {});
+                            told_.on_membership(ListKind::failed, {});
                             return;
                           }
                           link_ = std::make_shared<net::Link>(std::move(*socket), *this);
-                          wire::put(link_->out(), wire::Hello{wire::Role::head, given_.head_name, -1, 0});
+                          wire::encode(link_->out(), wire::Hello{wire::Role::head, given_.head_name, -1, 0});
                           link_->start();
                           link_->flush();
                         });
@@ -110,7 +110,7 @@
 
 void Follower::take(const wire::List& list, Micros now) {
   if (list.form == wire::ListForm::failed) {
-    told_.listed(ListKind::failed, {});
+    told_.on_membership(ListKind::failed, {});
     return;
   }
   const bool full = list.form == wire::ListForm::full;
@@ -123,37 +123,39 @@
   for (const wire::ListEntry& e : list.entries) {
     const int at = nodes_.index_of(e.name);
     Known& n = nodes_[at];
-    const bool again = n.start != 0 && n.start == e.start;
+    const bool again = n.start != 0 && n.start == e.incarnation;
     // One start has one time, however often it is listed: lists on their way for longer must not move it.
-    if (!again) n.up_since = e.age < 0 ? 0 : std::max<Micros>(1, now - e.age);
+    if (!again) n.up_since = e.uptime < 0 ? 0 : std::max<Micros>(1, now - e.uptime);
     n.address = e.address, n.zone = e.zone, n.port = static_cast<std::uint16_t>(e.port);
-    n.shard = e.shard, n.share = e.share, n.start = e.start;
+    n.shard = e.shard, n.share = e.share, n.start = e.incarnation;
     n.state = static_cast<NodeState>(e.state);
     entries.push_back(nodes_.entry(at));
   }
   // First kept, then acted on: a head killed in between starts from what it was told.
   save();
-  told_.listed(full ? ListKind::full : ListKind::delta, entries);
+  told_.on_membership(full ? ListKind::full : ListKind::delta, entries);
 }
 
 void Follower::on_frame(net::Link& link, const wire::Frame& frame) {
-  if (frame.type == wire::Type::hello) {
+  if (frame.type == wire::FrameType::hello) {
     wire::Hello hello;
-    wire::get(frame, hello);
-    if (hello.role != wire::Role::list) throw wire::Malformed("no list service answers here");
+    wire::decode(frame, hello);
+    if (hello.role != wire::Role::list) throw wire::MalformedFrame("no list service answers here");
     greeted_ = true;
-    for (const bool watch : std::exchange(asks_, {})) wire::put(link.out(), wire::AskList{watch, version_});
+    for (const bool watch : std::exchange(asks_, {}))
+      wire::encode(link.out(), wire::ListRequest{watch, version_});
     link.flush();
     return;
   }
-  if (frame.type != wire::Type::list) throw wire::Malformed("a head takes no frame of this type from a list");
+  if (frame.type != wire::FrameType::list)
+    throw wire::MalformedFrame("a head takes no frame of this type from a list");
   wire::List list;
-  wire::get(frame, list);
+  wire::decode(frame, list);
   for (const wire::ListEntry& e : list.entries) {
     std::error_code error;
     const auto address = asio::ip::make_address(e.address, error);
     if (error || !address.is_loopback())
-      throw wire::Malformed("node '" + e.name + "' has no loopback address");
+      throw wire::MalformedFrame("node '" + e.name + "' has no loopback address");
   }
   if (answers_due_ > 0) --answers_due_;
   take(list, monotonic_now());
@@ -165,11 +167,11 @@
   greeted_ = false;
   asks_.clear();
   answers_due_ = 0;
-  told_.listed(ListKind::failed, {});
+  told_.on_membership(ListKind::failed, {});
 }
 
 void Follower::tidy() {
-  nodes_.tidy([&](int node) { return told_.may_reuse(node); });
+  nodes_.release_gone([&](int node) { return told_.may_reuse(node); });
 }
 
 }  // namespace yewmount::list
--- a/src/list/follower.h
+++ b/src/list/follower.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
+#include "event_loop/node_table.h"
 #include "net/link.h"
 #include "rules/rules.h"
-#include "turns/roster.h"
 
 namespace yewmount::list {
 
@@ -17,15 +17,15 @@
   std::uint16_t port = 0;
 };
 
-struct Known : turns::ListedNode {
+struct Known : event_loop::ListedNode {
   std::string address;
   std::uint16_t port = 0;
   std::uint64_t start = 0;
 };
 
-using Told = turns::ListTold;
+using Told = event_loop::MembershipObserver;
 
-class Follower : public net::LinkOwner {
+class Follower : public net::LinkHandler {
  public:
   Follower(asio::io_context& io, Provision given, Told& told);
   ~Follower() override;
@@ -59,7 +59,7 @@
   std::vector<bool> asks_;  // waiting for the link: watch or fetch
   int answers_due_ = 0;
   std::uint64_t version_ = 0;
-  turns::Roster<Known> nodes_;
+  event_loop::NodeTable<Known> nodes_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/members/members.cpp
+++ b/src/members/members.cpp
@@ -81,11 +81,11 @@
     return &all;
   }
 
-  std::span<char> room() override { return net::shared_room(); }
-  void came(std::size_t bytes) override { read(net::shared_room().data(), bytes, "cut short"); }
+  std::span<char> read_buffer() override { return net::shared_read_buffer(); }
+  void on_read(std::size_t bytes) override { read(net::shared_read_buffer().data(), bytes, "cut short"); }
 
   // The end of a body that tells no length is the connection's; a reset is no end.
-  void lost(const std::error_code& why) override {
+  void on_error(const std::error_code& why) override {
     if (why == asio::error::eof) return read("", 0, "closed before the answer's end");
     owner_.failed(why.message());
   }
@@ -128,12 +128,12 @@
     Known known;
   };
   std::vector<Read> read;
-  for (const json& e : provision::part(list, "servers", json::value_t::array)) {
+  for (const json& e : provision::require_typed(list, "servers", json::value_t::array)) {
     if (!e.is_object()) throw BadInput("a node is an object");
     Read r{get<std::string>(e, "id"), {}};
     const std::string state = get<std::string>(e, "state");
     r.known.state =
-        provision::word(state,
+        provision::parse_enum(state,
                         {std::pair{"Ready", NodeState::ready}, std::pair{"Terminating", NodeState::draining},
                          std::pair{"Gone", NodeState::gone}},
                         "state");
@@ -170,7 +170,7 @@
     entries.push_back(nodes_.entry(at));
   }
   if (kind != ListKind::cached) listed_at_ = now;
-  told_.listed(kind, entries);
+  told_.on_membership(kind, entries);
 }
 
 // A start is told by the wall clock, which may be stepped: here or on all machines, before this process began
@@ -246,7 +246,7 @@
   // service had: then its answer says so, or it is asked for the whole list.
   ask_ = ask_ != Ask::whole && version_sure && policy_.names_version() ? Ask::changes : Ask::whole;
   again_at_ = monotonic_now() + policy_.wait_after_failure();
-  told_.listed(ListKind::failed, {});
+  told_.on_membership(ListKind::failed, {});
 }
 
 void Members::answered(const std::string& body, bool good, bool useful) {
@@ -284,7 +284,7 @@
 }
 
 void Members::tidy() {
-  nodes_.tidy([&](int node) { return told_.may_reuse(node); });
+  nodes_.release_gone([&](int node) { return told_.may_reuse(node); });
 }
 
 }  // namespace yewmount::members
--- a/src/members/members.h
+++ b/src/members/members.h
@@ -12,20 +12,20 @@
 #include <string>
 #include <vector>
 
+#include "event_loop/node_table.h"
 #include "members/call_policy.h"
 #include "net/stream.h"
 #include "provision/provision.h"
 #include "rules/rules.h"
-#include "turns/roster.h"
 
 namespace yewmount::members {
 
-struct Known : turns::ListedNode {
+struct Known : event_loop::ListedNode {
   asio::ip::tcp::endpoint at;
   Micros started = 0;  // as told: Unix time; 0: long ago
 };
 
-using Told = turns::ListTold;
+using Told = event_loop::MembershipObserver;
 
 // "10.2.0.1:8500"; throws provision::BadInput.
 asio::ip::tcp::endpoint endpoint(const std::string& text);
@@ -71,7 +71,7 @@
   Micros called_ = 0, heard_ = 0, again_at_ = 0, older_since_ = 0;  // heard: of this call's answer, last
   CallPolicy policy_;
   std::int64_t version_ = -1;
-  turns::Roster<Known> nodes_;
+  event_loop::NodeTable<Known> nodes_;
   const Micros offset_at_start_;  // of the wall clock from the loop's
   Micros listed_at_ = 0;          // when the service last answered; 0: not yet
   std::uint64_t failures_ = 0;
--- a/src/net/link.cpp
+++ b/src/net/link.cpp
@@ -2,40 +2,40 @@
 
 namespace yewmount::net {
 
-std::span<char> Link::room() { return inbox_.room(kReadBytes); }
+std::span<char> Link::read_buffer() { return decoder_.prepare(kReadBufferBytes); }
 
-void Link::came(std::size_t bytes) {
-  inbox_.came(bytes);
+void Link::on_read(std::size_t bytes) {
+  decoder_.commit(bytes);
   try {
     wire::Frame frame;
-    while (open() && inbox_.next(frame)) {
-      if (frame.type == wire::Type::fault) {
+    while (open() && decoder_.next(frame)) {
+      if (frame.type == wire::FrameType::fault) {
         wire::Fault fault;
-        wire::get(frame, fault);
-        return told("the peer says: " + std::string(fault.reason));
+        wire::decode(frame, fault);
+        return close_and_report("the peer reported: " + std::string(fault.reason));
       }
-      owner_->on_frame(*this, frame);
+      handler_->on_frame(*this, frame);
     }
-  } catch (const wire::Malformed& e) {
+  } catch (const wire::MalformedFrame& error) {
     if (!open()) return;
-    const std::string why = std::string("malformed: ") + e.what();
-    // What is pending may hold whole frames; the fault goes after them.
-    wire::put(out(), wire::Fault{e.what()});
+    const std::string why = std::string("malformed: ") + error.what();
+    // The output buffer may hold complete frames; the fault frame follows them.
+    wire::encode(out(), wire::Fault{error.what()});
     flush();
-    told(why);
+    close_and_report(why);
   }
 }
 
-void Link::lost(const std::error_code& why) {
-  if (why != asio::error::eof) return owner_->on_closed(*this, why.message());
-  owner_->on_closed(*this, inbox_.half() ? "closed within a frame" : "closed by the peer");
+void Link::on_error(const std::error_code& error) {
+  if (error != asio::error::eof) return handler_->on_closed(*this, error.message());
+  handler_->on_closed(*this, decoder_.has_partial_frame() ? "closed within a frame" : "closed by the peer");
 }
 
-void Link::told(const std::string& why) {
+void Link::close_and_report(const std::string& why) {
   if (!open()) return;
   auto self = shared_from_this();
   close();
-  owner_->on_closed(*this, why);
+  handler_->on_closed(*this, why);
 }
 
 }  // namespace yewmount::net
--- a/src/net/link.h
+++ b/src/net/link.h
@@ -1,5 +1,5 @@
-// One connection that carries frames: bytes in cut into frames, frames out written together once a turn of
-// the loop.
+// A connection that carries wire frames: decodes incoming bytes into frames and batches outgoing frames until
+// the next flush.
 #pragma once
 #include <asio.hpp>
 #include <cstdint>
@@ -14,28 +14,31 @@
 
 class Link;
 
-class LinkOwner {
+// Receives the frames and the end of its links.
+class LinkHandler {
  public:
-  virtual ~LinkOwner() = default;
-  // What these throw as wire::Malformed is told to the peer in one fault frame; then the link is closed.
+  virtual ~LinkHandler() = default;
+  // May throw wire::MalformedFrame: the reason is then sent to the peer in a fault frame and the link is
+  // closed.
   virtual void on_frame(Link& link, const wire::Frame& frame) = 0;
-  // Once for each link, unless the owner closed it itself. Nothing more comes after it.
+  // Called once for each link, as its last call, unless the handler closed the link itself.
   virtual void on_closed(Link& link, const std::string& why) = 0;
 };
 
+// A stream of frames. Its handler must outlive it.
 class Link : public Stream {
  public:
-  Link(asio::ip::tcp::socket socket, LinkOwner& owner) : Stream(std::move(socket)), owner_(&owner) {}
-  int number = 0;        // for the owner's use
-  void* user = nullptr;  // for the owner's use
+  Link(asio::ip::tcp::socket socket, LinkHandler& handler) : Stream(std::move(socket)), handler_(&handler) {}
+  int number = 0;        // set and read by the handler only
+  void* user = nullptr;  // set and read by the handler only
 
  private:
-  std::span<char> room() override;
-  void came(std::size_t bytes) override;
-  void lost(const std::error_code& why) override;
-  void told(const std::string& why);
-  LinkOwner* owner_;
-  wire::Inbox inbox_;
+  std::span<char> read_buffer() override;
+  void on_read(std::size_t bytes) override;
+  void on_error(const std::error_code& error) override;
+  void close_and_report(const std::string& why);
+  LinkHandler* handler_;
+  wire::FrameDecoder decoder_;
 };
 
 }  // namespace yewmount::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -8,38 +8,41 @@
 namespace yewmount::net {
 namespace {
 
-// Guards against a spin when descriptors or memory run out: connections stay in the queue meanwhile.
-constexpr std::chrono::milliseconds kRoomWait{20};
-constexpr int kTakenAtOnce = 64;  // so that others get their turn in a flood
-constexpr int kBacklog = 1024;
-constexpr int kOpenTries = 250;  // at a start, kRoomWait apart: five seconds of the ten that a restart has
+// Delay before a retry when descriptors or memory run out. It prevents a busy loop; connections stay in the
+// accept queue meanwhile.
+constexpr std::chrono::milliseconds kResourceRetryDelay{20};
+constexpr int kMaxAcceptsPerWakeup = 64;  // keeps a flood of connections from starving other handlers
+constexpr int kAcceptQueueLength = 1024;
+// At startup, kResourceRetryDelay apart: five seconds of the ten that a restart may take.
+constexpr int kMaxOpenAttempts = 250;
 
 }  // namespace
 
-Listener::Listener(asio::io_context& io, const asio::ip::tcp::endpoint& at, Taken taken)
-    : acceptor_(io), again_(io), taken_(std::move(taken)) {
-  open(at.protocol());
+Listener::Listener(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, AcceptHandler on_accept)
+    : acceptor_(io), retry_timer_(io), on_accept_(std::move(on_accept)) {
+  open(endpoint.protocol());
   acceptor_.set_option(asio::socket_base::reuse_address(true));
-  // Or the library takes ECONNABORTED and EPROTO for an empty queue, and waits for the next connection.
+  // Without this option the library treats ECONNABORTED and EPROTO as an empty queue and waits for the next
+  // connection, although others may be queued.
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
-  acceptor_.bind(at);
-  acceptor_.listen(kBacklog);
+  acceptor_.bind(endpoint);
+  acceptor_.listen(kAcceptQueueLength);
   acceptor_.non_blocking(true);
   wait();
 }
 
-// A machine may lack a descriptor or a buffer for a moment; that is no reason not to start.
+// Retries while the machine is temporarily short of descriptors or buffers: startup should not fail for that.
 void Listener::open(const asio::ip::tcp& protocol) {
   std::error_code error;
-  for (int tries = 1; acceptor_.open(protocol, error), error; ++tries) {
-    if (after_connect(error) != NextCall::later || tries == kOpenTries)
+  for (int attempt = 1; acceptor_.open(protocol, error), error; ++attempt) {
+    if (retry_after_connect(error) != Retry::after_delay || attempt == kMaxOpenAttempts)
       throw std::system_error(error, "open");
-    std::this_thread::sleep_for(kRoomWait);
+    std::this_thread::sleep_for(kResourceRetryDelay);
   }
 }
 
-void Listener::finish() {
-  while (acceptor_.is_open() && take_one()) {
+void Listener::accept_pending_and_close() {
+  while (acceptor_.is_open() && accept_one()) {
   }
   close();
 }
@@ -47,48 +50,48 @@
 void Listener::wait() {
   acceptor_.async_wait(asio::socket_base::wait_read, [this, alive = alive_](std::error_code error) {
     if (!*alive || !acceptor_.is_open() || error == asio::error::operation_aborted) return;
-    take_all();
+    accept_available();
   });
 }
 
-void Listener::take_all() {
-  int taken = 0;
-  while (taken < kTakenAtOnce && take_one()) ++taken;
+void Listener::accept_available() {
+  int accepted = 0;
+  while (accepted < kMaxAcceptsPerWakeup && accept_one()) ++accepted;
   if (!acceptor_.is_open()) return;
-  if (taken == kTakenAtOnce && behind_since_ == 0) behind_since_ = monotonic_now();
-  if (!waits_for_room_) return wait();
-  again_.expires_after(kRoomWait);
-  again_.async_wait([this, alive = alive_](std::error_code stopped) {
-    if (!stopped && *alive && acceptor_.is_open()) take_all();
+  if (accepted == kMaxAcceptsPerWakeup && backlogged_since_ == 0) backlogged_since_ = monotonic_now();
+  if (!lacks_resources_) return wait();
+  retry_timer_.expires_after(kResourceRetryDelay);
+  retry_timer_.async_wait([this, alive = alive_](std::error_code error) {
+    if (!error && *alive && acceptor_.is_open()) accept_available();
   });
 }
 
-bool Listener::take_one() {
+bool Listener::accept_one() {
   asio::ip::tcp::socket socket(acceptor_.get_executor());
   std::error_code error;
   acceptor_.accept(socket, error);
-  waits_for_room_ = false;
+  lacks_resources_ = false;
   if (!error) {
-    taken_(std::move(socket));
+    on_accept_(std::move(socket));
     return acceptor_.is_open();
   }
-  switch (after_accept(error)) {
-    case NextCall::again:
+  switch (retry_after_accept(error)) {
+    case Retry::immediately:
       return true;
-    case NextCall::ready:
-      behind_since_ = 0;  // the queue is empty
+    case Retry::when_ready:
+      backlogged_since_ = 0;  // the queue is empty
       return false;
-    case NextCall::later:
-      waits_for_room_ = true;
-      if (behind_since_ == 0) behind_since_ = monotonic_now();
+    case Retry::after_delay:
+      lacks_resources_ = true;
+      if (backlogged_since_ == 0) backlogged_since_ = monotonic_now();
       return false;
-    case NextCall::never:
+    case Retry::never:
       return false;
   }
   return false;
 }
 
-asio::ip::address loopback(const std::string& address) {
+asio::ip::address parse_loopback_address(const std::string& address) {
   std::error_code error;
   const auto parsed = asio::ip::make_address(address, error);
   if (error) throw std::runtime_error("'" + address + "' is not an address");
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-// Takes connections at one address.
+// Accepts TCP connections at a loopback address.
 #pragma once
 #include <asio.hpp>
 #include <cstdint>
@@ -8,15 +8,16 @@
 
 namespace yewmount::net {
 
-// Throws std::runtime_error with one line: not an address, or not loopback.
-asio::ip::address loopback(const std::string& address);
+// Parses a loopback address. Throws std::runtime_error, with a message of one line, for any other text.
+asio::ip::address parse_loopback_address(const std::string& address);
 
+// Passes each accepted connection to a handler on the loop's thread.
 class Listener {
  public:
-  using Taken = std::function<void(asio::ip::tcp::socket)>;
-  Listener(asio::io_context& io, const asio::ip::tcp::endpoint& at, Taken taken);
-  Listener(asio::io_context& io, const std::string& address, std::uint16_t port, Taken taken)
-      : Listener(io, {loopback(address), port}, std::move(taken)) {}
+  using AcceptHandler = std::function<void(asio::ip::tcp::socket)>;
+  Listener(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, AcceptHandler on_accept);
+  Listener(asio::io_context& io, const std::string& address, std::uint16_t port, AcceptHandler on_accept)
+      : Listener(io, {parse_loopback_address(address), port}, std::move(on_accept)) {}
   ~Listener() { *alive_ = false; }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
@@ -25,22 +26,22 @@
     std::error_code ignored;
     acceptor_.close(ignored);
   }
-  // What has already connected is taken, then it closes: the peer may have sent something.
-  void finish();
-  // While connections may have had to wait in the queue: since when, in microseconds of the monotonic clock;
-  // 0 otherwise. What they sent may be as old.
-  std::int64_t behind_since() const { return behind_since_; }
+  // Accepts the connections in the queue, whose peers may have sent requests already, then closes.
+  void accept_pending_and_close();
+  // Since when connections may have been waiting in the accept queue, in microseconds of the monotonic clock;
+  // 0 when the queue is known to be empty. Requests on new connections may be as old as that.
+  std::int64_t backlogged_since() const { return backlogged_since_; }
 
  private:
   void open(const asio::ip::tcp& protocol);
   void wait();
-  void take_all();
-  bool take_one();  // false: no more for now
+  void accept_available();
+  bool accept_one();  // false: none can be accepted for now
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer again_;
-  Taken taken_;
-  std::int64_t behind_since_ = 0;
-  bool waits_for_room_ = false;  // the last accept failed for want of descriptors or memory
+  asio::steady_timer retry_timer_;
+  AcceptHandler on_accept_;
+  std::int64_t backlogged_since_ = 0;
+  bool lacks_resources_ = false;  // the last accept failed for lack of descriptors or memory
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/net/socket_errors.h
+++ b/src/net/socket_errors.h
@@ -1,56 +1,56 @@
-// What an error of a system call on a socket means for the next call. One place for all streams and
-// listeners, after the Linux manual pages.
+// Classifies errors of socket system calls by whether and when the call may be retried, according to the
+// Linux manual pages. Shared by all streams and listeners.
 #pragma once
 #include <cerrno>
 #include <system_error>
 
 namespace yewmount::net {
 
-enum class NextCall {
-  again,  // the same call at once: it was interrupted, or only one connection was meant
-  ready,  // once the socket is ready
-  later,  // after a wait: the system lacks something for a moment
-  never   // the socket is of no further use
+enum class Retry {
+  immediately,  // the call was interrupted, or the error concerned a single connection
+  when_ready,   // once the socket polls as ready
+  after_delay,  // the system is temporarily short of a resource
+  never         // the socket is unusable
 };
 
-// Of read, write and peek on a connection.
-inline NextCall after_transfer(const std::error_code& error) {
+// Errors of read, write and peek on a connection.
+inline Retry retry_after_transfer(const std::error_code& error) {
   switch (error.value()) {
     case EINTR:
-      return NextCall::again;
+      return Retry::immediately;
     case EAGAIN:
-      return NextCall::ready;
+      return Retry::when_ready;
     case ENOBUFS:
     case ENOMEM:
-      return NextCall::later;
+      return Retry::after_delay;
     default:
-      return NextCall::never;
+      return Retry::never;
   }
 }
 
-// Of accept. Errors that are pending on the new connection are handed over by it and end that one only.
-inline NextCall after_accept(const std::error_code& error) {
+// Errors of accept. Linux also reports errors that are pending on the new connection; they end only that one.
+inline Retry retry_after_accept(const std::error_code& error) {
   switch (error.value()) {
     case EAGAIN:
-      return NextCall::ready;
+      return Retry::when_ready;
     case EMFILE:
     case ENFILE:
     case ENOBUFS:
     case ENOMEM:
-      return NextCall::later;
+      return Retry::after_delay;
     case EBADF:
     case EINVAL:
     case ENOTSOCK:
     case EOPNOTSUPP:
-      return NextCall::never;
-    default:  // EINTR, ECONNABORTED, EPROTO, EPERM, and the network's: ENETDOWN, EHOSTUNREACH and the like
-      return NextCall::again;
+      return Retry::never;
+    default:  // EINTR, ECONNABORTED, EPROTO, EPERM, and network errors such as ENETDOWN and EHOSTUNREACH
+      return Retry::immediately;
   }
 }
 
-// Of socket and connect. later: this machine has no descriptor, buffer, port or route for the moment, which
-// says nothing of the other side.
-inline NextCall after_connect(const std::error_code& error) {
+// Errors of socket and connect. after_delay: this machine has no descriptor, buffer, port or route at the
+// moment, which says nothing about the peer.
+inline Retry retry_after_connect(const std::error_code& error) {
   switch (error.value()) {
     case EMFILE:
     case ENFILE:
@@ -61,9 +61,9 @@
     case ENETDOWN:
     case ENETUNREACH:
     case EINTR:
-      return NextCall::later;
+      return Retry::after_delay;
     default:
-      return NextCall::never;
+      return Retry::never;
   }
 }
 
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -8,9 +8,9 @@
 
 namespace yewmount::net {
 
-std::span<char> shared_room() {
-  thread_local std::array<char, kReadBytes> room;
-  return room;
+std::span<char> shared_read_buffer() {
+  thread_local std::array<char, kReadBufferBytes> buffer;
+  return buffer;
 }
 
 Stream::Stream(asio::ip::tcp::socket socket) : socket_(std::move(socket)) {
@@ -20,90 +20,96 @@
 }
 
 void Stream::read() {
-  if (!open_ || reading_ || held_ || ended_) return;
-  reading_ = true;
+  if (!open_ || read_pending_ || paused_ || peer_eof_) return;
+  read_pending_ = true;
   socket_.async_wait(asio::socket_base::wait_read, [self = shared_from_this()](std::error_code error) {
-    self->reading_ = false;
-    if (!self->open_ || self->held_) return;
+    self->read_pending_ = false;
+    if (!self->open_ || self->paused_) return;
     std::size_t bytes = 0;
-    if (!error) bytes = self->read_now(error);
-    if (error == asio::error::eof && self->stays()) return;
-    if (error && after_transfer(error) == NextCall::never) return self->broken(error);
+    if (!error) bytes = self->read_available(error);
+    if (error == asio::error::eof && self->stays_open_after_eof()) return;
+    if (error && retry_after_transfer(error) == Retry::never) return self->fail(error);
     if (self->lingering_)
-      self->read_off(bytes);
+      self->discard(bytes);
     else if (bytes > 0)
-      self->came(bytes);
+      self->on_read(bytes);
     self->read();
   });
 }
 
-std::size_t Stream::read_now(std::error_code& error) {
-  const auto room = this->room();
+std::size_t Stream::read_available(std::error_code& error) {
+  const auto buffer = read_buffer();
   std::size_t bytes = 0;
   do {
-    bytes = socket_.read_some(asio::buffer(room.data(), room.size()), error);
-  } while (error && after_transfer(error) == NextCall::again);
+    bytes = socket_.read_some(asio::buffer(buffer.data(), buffer.size()), error);
+  } while (error && retry_after_transfer(error) == Retry::immediately);
   return bytes;
 }
 
-// After the other end's last byte.
-bool Stream::stays() {
-  ended_ = true;
-  if (!lingering_) return ended();
-  return pending() > 0;  // else it has served its purpose
+// Called at the peer's end of stream.
+bool Stream::stays_open_after_eof() {
+  peer_eof_ = true;
+  if (!lingering_) return on_peer_eof();
+  return pending_bytes() > 0;  // otherwise the lingering close is complete
 }
 
-void Stream::read_off(std::size_t bytes) {
-  read_off_ += bytes;
-  if (read_off_ > kMostReadOff) close();
+void Stream::discard(std::size_t bytes) {
+  discarded_bytes_ += bytes;
+  if (discarded_bytes_ > kMaxLingerBytes) close();
 }
 
-// Written without waiting, here and now: a write that completes later would leave a time in which the peer
-// has bytes that handed_ does not know of, and what it has read whole would be told as surely not run.
+// Writes synchronously without blocking. With an asynchronous write the peer could hold bytes that
+// bytes_written_ does not count yet, and a request that it has read completely would be reported as certainly
+// not executed.
 void Stream::flush() {
-  if (!open_ || busy_) return;
-  while (at_ < out_.size()) {
+  if (!open_ || write_pending_) return;
+  while (sent_offset_ < out_.size()) {
     std::error_code error;
-    const std::size_t n = socket_.write_some(asio::buffer(out_.data() + at_, out_.size() - at_), error);
-    at_ += n;
-    handed_ += n;
+    const std::size_t n =
+        socket_.write_some(asio::buffer(out_.data() + sent_offset_, out_.size() - sent_offset_), error);
+    sent_offset_ += n;
+    bytes_written_ += n;
     if (!error) continue;
-    switch (after_transfer(error)) {
-      case NextCall::again:
+    switch (retry_after_transfer(error)) {
+      case Retry::immediately:
         continue;
-      case NextCall::ready:
-      case NextCall::later:
+      case Retry::when_ready:
+      case Retry::after_delay:
         return flush_when_writable();
-      case NextCall::never:
-        // Not from within the owner's own call: it hears of it on a turn of its own.
-        asio::post(socket_.get_executor(), [self = shared_from_this(), error] { self->broken(error); });
+      case Retry::never:
+        // Posted, so that the owner's handler doesn't run within the owner's own call of flush().
+        asio::post(socket_.get_executor(), [self = shared_from_this(), error] { self->fail(error); });
         return;
     }
   }
   out_.clear();
-  at_ = 0;
-  if (closing_) return close();
+  sent_offset_ = 0;
+  if (close_after_flush_) return close();
   if (!lingering_) return;
-  if (ended_) return close();
+  if (peer_eof_) return close();
   std::error_code ignored;
   socket_.shutdown(asio::socket_base::shutdown_send, ignored);
 }
 
 void Stream::flush_when_writable() {
-  busy_ = true;
-  socket_.async_wait(asio::socket_base::wait_write, [self = shared_from_this()](std::error_code failed) {
-    self->busy_ = false;
+  write_pending_ = true;
+  socket_.async_wait(asio::socket_base::wait_write, [self = shared_from_this()](std::error_code error) {
+    self->write_pending_ = false;
     if (!self->open_) return;
-    if (failed) return self->broken(failed);
+    if (error) return self->fail(error);
     self->flush();
-    if (self->open_ && !self->lingering_) self->moved();  // its owner has let go of it
+    // A lingering stream reports nothing to its owner.
+    if (self->open_ && !self->lingering_) self->on_write_progress();
   });
-  if (at_ > kReadBytes) out_.erase(0, at_), at_ = 0;
+  if (sent_offset_ > kReadBufferBytes) {
+    out_.erase(0, sent_offset_);
+    sent_offset_ = 0;
+  }
 }
 
-void Stream::take_back(std::uint64_t begin, std::uint64_t end) {
-  if (begin < handed_ || end > appended() || begin > end) return;
-  out_.erase(at_ + (begin - handed_), end - begin);
+void Stream::remove_pending(std::uint64_t begin, std::uint64_t end) {
+  if (begin < bytes_written_ || end > bytes_appended() || begin > end) return;
+  out_.erase(sent_offset_ + (begin - bytes_written_), end - begin);
 }
 
 void Stream::close() {
@@ -113,46 +119,46 @@
 }
 
 void Stream::close_after_flush() {
-  closing_ = true;
+  close_after_flush_ = true;
   flush();
 }
 
-void Stream::linger() {
+void Stream::close_lingering() {
   lingering_ = true;
-  held_ = false;
+  paused_ = false;
   const auto self = shared_from_this();
   flush();
   read();
 }
 
-void Stream::hold_reading(bool held) {
-  held_ = held;
-  if (!held) read();
+void Stream::pause_reading(bool paused) {
+  paused_ = paused;
+  if (!paused) read();
 }
 
-bool Stream::unread() {
+bool Stream::has_unread_input() {
   char byte;
   while (::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0) {
-    const NextCall next = after_transfer({errno, std::system_category()});
-    if (next != NextCall::again) return next == NextCall::never;
+    const Retry retry = retry_after_transfer({errno, std::system_category()});
+    if (retry != Retry::immediately) return retry == Retry::never;
   }
   return true;
 }
 
-bool Stream::hung_up() {
-  pollfd of{socket_.native_handle(), POLLRDHUP, 0};
+bool Stream::has_peer_closed() {
+  pollfd descriptor{socket_.native_handle(), POLLRDHUP, 0};
   int ready = 0;
   do {
-    ready = ::poll(&of, 1, 0);
+    ready = ::poll(&descriptor, 1, 0);
   } while (ready < 0 && errno == EINTR);
-  return ready > 0 && (of.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  return ready > 0 && (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void Stream::broken(const std::error_code& why) {
+void Stream::fail(const std::error_code& error) {
   if (!open_) return;
   auto self = shared_from_this();
   close();
-  if (!lingering_) lost(why);
+  if (!lingering_) on_error(error);
 }
 
 }  // namespace yewmount::net
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,5 +1,6 @@
-// One connection that carries bytes: read as they come, written together once a turn of the loop. It knows
-// how many bytes the socket has taken, which tells what surely never left.
+// A TCP connection that carries bytes. Incoming bytes are handed to the owner as they arrive, outgoing bytes
+// are buffered until flush(). The stream counts the bytes that the socket has accepted, so that an owner can
+// tell which requests certainly never left this process.
 #pragma once
 #include <asio.hpp>
 #include <cstdint>
@@ -9,64 +10,75 @@
 
 namespace yewmount::net {
 
+// Base class of connections. The derived class is the owner: it supplies the read buffer and handles the
+// events.
 class Stream : public std::enable_shared_from_this<Stream> {
  public:
   explicit Stream(asio::ip::tcp::socket socket);
   virtual ~Stream() = default;
-  void start() { read(); }  // reads from now on
+  void start() { read(); }  // starts reading
 
-  // Bytes are appended to out(); flush() hands over what the socket takes now, the rest when it takes more.
+  // The output buffer; append to it, then call flush().
   std::string& out() { return out_; }
+  // Writes what the socket accepts now; the rest follows when the socket becomes writable.
   void flush();
-  std::uint64_t appended() const { return handed_ + out_.size() - at_; }
-  std::size_t pending() const { return out_.size() - at_; }
-  // Bytes that the socket has taken so far, of all appended since the start; true at any moment.
-  std::uint64_t handed() const { return handed_; }
-  // Removes bytes that were appended and not handed over, all from `begin` (at least handed()) up to `end`.
-  void take_back(std::uint64_t begin, std::uint64_t end);
+  // Bytes appended to the output buffer since the start.
+  std::uint64_t bytes_appended() const { return bytes_written_ + out_.size() - sent_offset_; }
+  // Bytes appended and not yet accepted by the socket.
+  std::size_t pending_bytes() const { return out_.size() - sent_offset_; }
+  // Bytes that the socket has accepted since the start; exact at any time, as writes are synchronous.
+  std::uint64_t bytes_written() const { return bytes_written_; }
+  // Removes the appended bytes from position `begin` up to `end`, counted from the start, unless the socket
+  // has accepted some of them.
+  void remove_pending(std::uint64_t begin, std::uint64_t end);
 
   bool open() const { return open_; }
-  void close();              // the owner hears nothing
-  void close_after_flush();  // what is pending goes out first
-  // Lets go of the connection without a reset, which a close over unread bytes would be and which would take
-  // an answer on its way with it: sending ends after what is pending, what still comes is read off and
-  // dropped up to a bound, then it closes. How long that may take is the owner's to bound; it hears nothing
-  // more.
-  void linger();
-  void hold_reading(bool held);  // takes nothing from the socket for a while
-  bool hung_up();                // whether an end has come, be it behind bytes that nobody has read yet
-  bool unread();                 // whether the socket holds bytes, or an end, that nobody has read yet
+  void close();              // the owner gets no further call
+  void close_after_flush();  // writes pending output first
+  // Closes without a TCP reset, which closing a socket with unread input would cause and which could destroy
+  // a reply on its way: writes pending output, ends sending, then discards input up to kMaxLingerBytes until
+  // the peer closes. The owner limits how long this may take and gets no further call.
+  void close_lingering();
+  void pause_reading(bool paused);  // while paused, nothing is read from the socket
+  bool has_peer_closed();           // whether the peer has closed, even if unread input precedes the end
+  bool has_unread_input();          // whether the socket holds unread bytes, an end of stream or an error
 
  protected:
-  // Where the next bytes go; asked for when some are there, so that idle connections need no room.
-  virtual std::span<char> room() = 0;
-  virtual void came(std::size_t bytes) = 0;  // so many bytes of the room; may close
-  virtual void moved() {}                    // the socket has taken more of what had to wait
-  // The other end sends no more. True: it may still read, so the connection stays for sending.
-  virtual bool ended() { return false; }
-  virtual void lost(
-      const std::error_code& why) = 0;  // once, after the close, unless the owner closed it itself
-  void broken(const std::error_code& why);
+  // The buffer for the next read; requested only when input is available, so that idle connections need none.
+  virtual std::span<char> read_buffer() = 0;
+  virtual void on_read(std::size_t bytes) = 0;  // `bytes` bytes are in the read buffer; may close the stream
+  virtual void on_write_progress() {}           // the socket has accepted more of the pending output
+  // The peer has ended its side. Returns true to keep the stream open for sending (half-close).
+  virtual bool on_peer_eof() { return false; }
+  // The stream has closed by an error or the peer's end; called once, and not if the owner closed it.
+  virtual void on_error(const std::error_code& error) = 0;
+  void fail(const std::error_code& error);  // closes the stream and reports the error
 
  private:
   void read();
-  std::size_t read_now(std::error_code& error);
+  std::size_t read_available(std::error_code& error);
   void flush_when_writable();
-  bool stays();
-  void read_off(std::size_t bytes);
+  bool stays_open_after_eof();
+  void discard(std::size_t bytes);
   asio::ip::tcp::socket socket_;
   std::string out_;
-  std::size_t at_ = 0;  // of out_: what has been handed over
-  std::uint64_t handed_ = 0;
-  bool open_ = true, busy_ = false, closing_ = false, held_ = false, reading_ = false;
-  bool ended_ = false, lingering_ = false;
-  std::size_t read_off_ = 0;
+  std::size_t sent_offset_ = 0;  // end of the part of out_ that the socket has accepted
+  std::uint64_t bytes_written_ = 0;
+  bool open_ = true;
+  bool write_pending_ = false;
+  bool close_after_flush_ = false;
+  bool paused_ = false;
+  bool read_pending_ = false;
+  bool peer_eof_ = false;
+  bool lingering_ = false;
+  std::size_t discarded_bytes_ = 0;
 };
 
-inline constexpr std::size_t kReadBytes = 64 << 10;   // taken from a socket at once
-inline constexpr std::size_t kMostReadOff = 4 << 20;  // by a lingering close
+inline constexpr std::size_t kReadBufferBytes = 64 << 10;  // the most that one read takes
+inline constexpr std::size_t kMaxLingerBytes = 4 << 20;    // input that a lingering close discards at most
 
-// Room that all connections of a thread share: what has been read is used or copied before the next read.
-std::span<char> shared_room();
+// A read buffer that all connections of a thread share; its content must be used or copied before the next
+// read.
+std::span<char> shared_read_buffer();
 
 }  // namespace yewmount::net
--- a/src/nodes/nodes.cpp
+++ b/src/nodes/nodes.cpp
@@ -29,10 +29,10 @@
   std::string held;  // of an answer that isn't whole yet
 
  private:
-  std::span<char> room() override { return net::shared_room(); }
-  void came(std::size_t bytes) override { owner_.came(line_, {net::shared_room().data(), bytes}); }
-  void moved() override { owner_.write(line_); }
-  void lost(const std::error_code& why) override {
+  std::span<char> read_buffer() override { return net::shared_read_buffer(); }
+  void on_read(std::size_t bytes) override { owner_.came(line_, {net::shared_read_buffer().data(), bytes}); }
+  void on_write_progress() override { owner_.write(line_); }
+  void on_error(const std::error_code& why) override {
     owner_.gone(line_, Closed::broken, why.message().c_str());
   }
   Nodes& owner_;
@@ -90,7 +90,7 @@
     }
     if (best < 0) break;
     const bool old = !reuse_.worth(now - lines_[best].answered, now);
-    if (!old && !lines_[best].wire->unread()) return best;
+    if (!old && !lines_[best].wire->has_unread_input()) return best;
     drop(best, old ? Closed::too_old : Closed::unread);
   }
   if (live_lines_.size() >= given_.connections && !make_room()) {
@@ -133,7 +133,7 @@
                         [this, at, socket, alive = alive_](std::error_code error) {
                           if (!*alive || lines_[at].socket != socket) return;
                           Line& line = lines_[at];
-                          if (error && net::after_connect(error) == net::NextCall::later) {
+                          if (error && net::retry_after_connect(error) == net::Retry::after_delay) {
                             line.socket.reset();
                             line.connect_at = monotonic_now() + kConnectAgain;
                             return;
@@ -152,7 +152,7 @@
   const std::shared_ptr<Wire> wire = lines_[at].wire;
   if (!wire) return;
   wire->flush();
-  while (wire->open() && wire->pending() == 0) {
+  while (wire->open() && wire->pending_bytes() == 0) {
     const auto& on = lines_[at].out;
     const auto next = std::find_if(on.begin(), on.end(), [&](int o) { return o >= 0 && outs_[o].end == 0; });
     if (next == on.end()) return;
@@ -162,15 +162,15 @@
       continue;
     }
     const Micros left = std::max<Micros>(1, (out.until - monotonic_now()) / 1000);
-    out.begin = wire->appended();
+    out.begin = wire->bytes_appended();
     fields_ = out.command.fields;
     fields_.insert(out.command.wait, std::to_string(left));
     wire->out() += out.command.before;
-    resp::put_bulk(wire->out(), fields_);
+    resp::append_bulk_string(wire->out(), fields_);
     wire->out() += out.command.behind;
-    out.end = wire->appended();
+    out.end = wire->bytes_appended();
     // A body's memory is not kept.
-    if (out.command.behind.capacity() > resp::kMostLine) out.command.behind = {};
+    if (out.command.behind.capacity() > resp::kMaxLineBytes) out.command.behind = {};
     wire->flush();
   }
 }
@@ -179,7 +179,7 @@
 void Nodes::withhold(int at, Denial denial) {
   const Out& out = outs_[at];
   ++counts_.denied[static_cast<std::size_t>(denial)];
-  if (logs::debugging())
+  if (logs::is_debug_enabled())
     logs::debug("withheld", {{"id", out.id},
                              {"no", out.no},
                              {"node", peers_[out.node].name},
@@ -288,7 +288,7 @@
     else if (name == "cost")
       ended.from_others = static_cast<int>(value);
     else
-      provision::put_load(ended.report, name, value);
+      provision::set_load_value(ended.report, name, value);
   }
 }
 
@@ -305,9 +305,9 @@
       return drop(at, Closed::stray);
     }
     resp::Reply reply;
-    const resp::Cut cut = resp::cut(all, reply, given_.most_value);
-    if (cut == resp::Cut::partial) break;
-    if (cut == resp::Cut::malformed) return spoilt(at, reply.why);
+    const resp::ParseStatus cut = resp::parse(all, reply, given_.most_value);
+    if (cut == resp::ParseStatus::partial) break;
+    if (cut == resp::ParseStatus::malformed) return spoilt(at, reply.why);
     all.remove_prefix(reply.bytes);
     lines_[at].begun = 0;
     answer(at, reply);
@@ -367,7 +367,7 @@
 }
 
 bool Nodes::left_whole(const Line& line, const Out& out) const {
-  return line.wire && out.end > 0 && out.end <= line.wire->handed();
+  return line.wire && out.end > 0 && out.end <= line.wire->bytes_written();
 }
 
 void Nodes::gone(int at, Closed reason, const char* why) {
@@ -388,7 +388,7 @@
 void Nodes::drop(int at, Closed reason) {
   Line& line = lines_[at];
   ++counts_.closed[static_cast<std::size_t>(reason)];
-  if (logs::debugging())
+  if (logs::is_debug_enabled())
     logs::debug("node connection closed",
                 {{"node", peers_[line.node].name}, {"why", kClosed[static_cast<std::size_t>(reason)]}});
   if (line.wire) {
@@ -419,8 +419,8 @@
   const Out& out = outs_[at];
   Line& line = lines_[out.line];
   if (out.end > 0) {
-    if (out.begin < line.wire->handed()) return false;
-    line.wire->take_back(out.begin, out.end);
+    if (out.begin < line.wire->bytes_written()) return false;
+    line.wire->remove_pending(out.begin, out.end);
   }
   std::erase(line.out, at);
   return true;
--- a/src/plans/plan.cpp
+++ b/src/plans/plan.cpp
@@ -3,12 +3,12 @@
 #include <algorithm>
 
 #include "base/base.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace yewmount::plans {
 
 using nlohmann::json;
-using settings::Bad;
+using settings::SettingsError;
 
 Plan read_plan(const std::string& text, const std::string& path) {
   const json given = settings::check(text, path, "plan");
@@ -19,7 +19,7 @@
     Planned p{v.at("name"), v.at("nodes"), v.at("reserve"), v.at("weight")};
     std::sort(p.nodes.begin(), p.nodes.end());
     if (std::adjacent_find(p.nodes.begin(), p.nodes.end()) != p.nodes.end())
-      throw Bad(path + ": /volumes/" + std::to_string(i) + "/nodes: a node stands here twice");
+      throw SettingsError(path + ": /volumes/" + std::to_string(i) + "/nodes: a node stands here twice");
     plan.volumes.push_back(std::move(p));
     ++i;
   }
@@ -27,13 +27,13 @@
             [](const Planned& x, const Planned& y) { return x.name < y.name; });
   for (std::size_t at = 1; at < plan.volumes.size(); ++at)
     if (plan.volumes[at].name == plan.volumes[at - 1].name)
-      throw Bad(path + ": /volumes: '" + plan.volumes[at].name + "' stands here twice");
+      throw SettingsError(path + ": /volumes: '" + plan.volumes[at].name + "' stands here twice");
   return plan;
 }
 
 Plan load_plan(const std::string& path) {
   std::string text;
-  if (const std::string why = read_file(path, text); !why.empty()) throw Bad(why);
+  if (const std::string why = read_file(path, text); !why.empty()) throw SettingsError(why);
   return read_plan(text, path);
 }
 
--- a/src/plans/plan.h
+++ b/src/plans/plan.h
@@ -20,7 +20,7 @@
   bool operator==(const Plan&) const = default;
 };
 
-// Throws settings::Bad, one line with place and reason.
+// Throws settings::SettingsError, one line with place and reason.
 Plan load_plan(const std::string& path);
 Plan read_plan(const std::string& text, const std::string& path);
 std::string plan_text(const Plan& plan);
--- a/src/plans/problem.cpp
+++ b/src/plans/problem.cpp
@@ -7,19 +7,19 @@
 #include <set>
 
 #include "base/base.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace yewmount::plans {
 namespace {
 
 using nlohmann::json;
-using settings::Bad;
+using settings::SettingsError;
 using solver::Amount;
 using solver::Keep;
 
 struct Where {
   std::string path, at;
-  [[noreturn]] void bad(const std::string& why) const { throw Bad(path + ": " + at + ": " + why); }
+  [[noreturn]] void bad(const std::string& why) const { throw SettingsError(path + ": " + at + ": " + why); }
   Where operator/(const std::string& part) const { return {path, at + '/' + part}; }
 };
 
@@ -132,7 +132,7 @@
 
 solver::Problem load_problem(const std::string& path) {
   std::string text;
-  if (const std::string why = read_file(path, text); !why.empty()) throw Bad(why);
+  if (const std::string why = read_file(path, text); !why.empty()) throw SettingsError(why);
   return read_problem(text, path);
 }
 
--- a/src/plans/problem.h
+++ b/src/plans/problem.h
@@ -8,7 +8,7 @@
 
 namespace yewmount::plans {
 
-// All throw settings::Bad, one line with place and reason.
+// All throw settings::SettingsError, one line with place and reason.
 solver::Problem load_problem(const std::string& path);
 solver::Problem read_problem(const std::string& text, const std::string& path);
 
--- a/src/provision/provision.cpp
+++ b/src/provision/provision.cpp
@@ -15,8 +15,8 @@
           .goal_stretch = get_or<double>(c, "aim-stretch", 0),
           .gain = get<double>(c, "credit"),
           .late_part = get_or<double>(c, "late-worth", 0),
-          .repeat = word(get<std::string>(c, "idempotency"), repeats, "idempotency"),
-          .scope = word(get_or<std::string>(c, "key-scope", "all"), scopes, "key-scope"),
+          .repeat = parse_enum(get<std::string>(c, "idempotency"), repeats, "idempotency"),
+          .scope = parse_enum(get_or<std::string>(c, "key-scope", "all"), scopes, "key-scope"),
           .streams = get_or<bool>(c, "stream", false),
           .keeps_order = get_or<bool>(c, "keep-order", false)};
 }
@@ -33,30 +33,30 @@
 
 }  // namespace
 
-int Names::index(const std::string& name) {
-  auto [it, fresh] = indices_.try_emplace(name, static_cast<int>(names_.size()));
-  if (fresh) names_.push_back(name);
+int NameTable::index(const std::string& name) {
+  auto [it, inserted] = indices_.try_emplace(name, static_cast<int>(names_.size()));
+  if (inserted) names_.push_back(name);
   return it->second;
 }
 
-int Names::known(const std::string& name) const {
+int NameTable::known(const std::string& name) const {
   auto it = indices_.find(name);
   if (it == indices_.end()) throw BadInput("unknown name '" + name + "'");
   return it->second;
 }
 
-int Names::find(std::string_view name) const {
+int NameTable::find(std::string_view name) const {
   for (std::size_t i = 0; i < names_.size(); ++i)
     if (names_[i] == name) return static_cast<int>(i);
   return -1;
 }
 
-Platform read(const json& conf, std::uint64_t seed) {
-  Platform all{};
-  const json& info = part(conf, "family-info", json::value_t::object);
-  const json& limits = part(conf, "limits", json::value_t::object);
-  const json& rules = part(conf, "rules", json::value_t::object);
-  const json& report = part(conf, "report", json::value_t::object);
+PlatformSettings read_platform_settings(const json& conf, std::uint64_t seed) {
+  PlatformSettings settings{};
+  const json& info = require_typed(conf, "family-info", json::value_t::object);
+  const json& limits = require_typed(conf, "limits", json::value_t::object);
+  const json& rules = require_typed(conf, "rules", json::value_t::object);
+  const json& report = require_typed(conf, "report", json::value_t::object);
   const std::string sizes = get_or<std::string>(conf, "weights", "silent");
   Provisioning given{.seed = seed,
                      .heads = get<int>(conf, "balancers"),
@@ -88,27 +88,27 @@
                      .budget_spare = get_or<double>(rules, "spare-attempts", -1),
                      .budget_share = get_or<double>(rules, "budget-share", -1),
                      .budget_span = time_or(rules, "budget-span-s", -1)};
-  for (const json& c : part(conf, "classes", json::value_t::array)) {
-    all.groups.index(get<std::string>(c, "name"));
+  for (const json& c : require_typed(conf, "classes", json::value_t::array)) {
+    settings.groups.index(get<std::string>(c, "name"));
     given.groups.push_back(io_group(c));
   }
-  for (const json& p : part(conf, "plans", json::value_t::array)) {
-    all.plans.index(get<std::string>(p, "name"));
+  for (const json& p : require_typed(conf, "plans", json::value_t::array)) {
+    settings.plans.index(get<std::string>(p, "name"));
     given.plans.push_back(plan(p));
   }
   if (auto it = report.find("fields"); it != report.end() && it->is_array())
-    for (const json& f : *it) all.report_fields.push_back(as<std::string>(f, "fields"));
+    for (const json& f : *it) settings.report_fields.push_back(as<std::string>(f, "fields"));
   if (auto it = info.find("writes"); it != info.end() && it->is_array())
-    for (const json& w : *it) all.writes.push_back(as<bool>(w, "writes"));
-  all.writes.resize(given.groups.size());
-  all.streams = get_or<int>(limits, "streams-per-conn", 1);
-  all.connect_within = time_or(limits, "connect-timeout-s", 250'000);
-  all.idle = time_or(limits, "conn-idle-s", 15'000'000);
-  all.head = std::move(given);
-  return all;
+    for (const json& w : *it) settings.writes.push_back(as<bool>(w, "writes"));
+  settings.writes.resize(given.groups.size());
+  settings.streams_per_connection = get_or<int>(limits, "streams-per-conn", 1);
+  settings.connect_timeout = time_or(limits, "connect-timeout-s", 250'000);
+  settings.idle_timeout = time_or(limits, "conn-idle-s", 15'000'000);
+  settings.head = std::move(given);
+  return settings;
 }
 
-void put_load(LoadReport& report, std::string_view field, double value) {
+void set_load_value(LoadReport& report, std::string_view field, double value) {
   if (field == "outstanding" || field == "inflight") report.outstanding = value;
   if (field == "backlog" || field == "queue") report.backlog = value;
   if (field == "utilization" || field == "util") report.utilization = value;
--- a/src/provision/provision.h
+++ b/src/provision/provision.h
@@ -1,5 +1,6 @@
-// The platform's settings object, as an instance is handed it, turned into what a head is provisioned with.
-// One reader for all ways in, so that they can't differ. It decides nothing.
+// Parses the settings object that the platform hands to an instance into what the decision module is
+// provisioned with. Shared by all programs that receive such an object, so that they interpret it alike. It
+// makes no decisions.
 #pragma once
 #include <cmath>
 #include <nlohmann/json.hpp>
@@ -14,20 +15,22 @@
 
 namespace yewmount::provision {
 
+// A malformed or missing field; the message is one line and names the field.
 struct BadInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 using nlohmann::json;
 
-// Fields of an object; what is missing or of a wrong type is BadInput, named after the field.
-inline const json& need(const json& fields, const char* name) {
+// Returns a field of an object; throws BadInput if it is missing or null.
+inline const json& require(const json& fields, const char* name) {
   auto it = fields.find(name);
   if (it == fields.end() || it->is_null()) throw BadInput(std::string("missing field '") + name + "'");
   return *it;
 }
 
-// Wrong types are named after the field, in one line, rather than in the library's words.
+// Converts a field's value to a boolean, a number or a string. Throws BadInput, which names the field, in
+// place of the JSON library's exception.
 template <class T>
 T as(const json& value, const char* name) {
   bool fits;
@@ -41,23 +44,27 @@
   return value.get<T>();
 }
 
+// Returns a required field; throws BadInput if it is missing or of another type.
 template <class T>
 T get(const json& fields, const char* name) {
-  return as<T>(need(fields, name), name);
+  return as<T>(require(fields, name), name);
 }
 
+// Returns an optional field, or `otherwise` if it is missing or null.
 template <class T>
 T get_or(const json& fields, const char* name, T otherwise) {
   auto it = fields.find(name);
   return it == fields.end() || it->is_null() ? otherwise : as<T>(*it, name);
 }
 
-inline const json& part(const json& fields, const char* name, json::value_t type) {
-  const json& value = need(fields, name);
+// Returns a required field of the given JSON type.
+inline const json& require_typed(const json& fields, const char* name, json::value_t type) {
+  const json& value = require(fields, name);
   if (value.type() != type) throw BadInput(std::string("field '") + name + "' is of the wrong type");
   return value;
 }
 
+// Times are stored in seconds and returned in microseconds.
 inline Micros micros(double seconds) { return std::llround(seconds * 1e6); }
 inline Micros time_of(const json& fields, const char* name) { return micros(get<double>(fields, name)); }
 inline Micros time_or(const json& fields, const char* name, Micros otherwise) {
@@ -65,39 +72,44 @@
   return it == fields.end() || it->is_null() ? otherwise : micros(as<double>(*it, name));
 }
 
+// Returns the enum value that `text` names. `what` describes the field in the error.
 template <class T, std::size_t N>
-T word(const std::string& text, const std::pair<const char*, T> (&words)[N], const char* what) {
-  for (const auto& [name, value] : words)
+T parse_enum(const std::string& text, const std::pair<const char*, T> (&values)[N], const char* what) {
+  for (const auto& [name, value] : values)
     if (text == name) return value;
   throw BadInput("unknown " + std::string(what) + " '" + text + "'");
 }
 
-// Names to small indices in order of first sight.
-class Names {
+// Assigns small indices to names in order of first appearance.
+class NameTable {
  public:
-  int index(const std::string& name);
-  int known(const std::string& name) const;  // BadInput where it is not
-  int find(std::string_view name) const;     // -1: not known
+  int index(const std::string& name);        // assigns an index to a new name
+  int known(const std::string& name) const;  // throws BadInput for an unknown name
+  int find(std::string_view name) const;     // returns -1 for an unknown name
   const std::string& name(int index) const { return names_[index]; }
-  bool operator==(const Names& o) const { return names_ == o.names_; }
+  bool operator==(const NameTable& other) const { return names_ == other.names_; }
 
  private:
   std::unordered_map<std::string, int> indices_;
   std::vector<std::string> names_;
 };
 
-struct Platform {
+// The parsed settings object. `head` holds the settings of the decision module.
+struct PlatformSettings {
   Provisioning head;
-  Names groups, plans;
-  std::vector<bool> writes;                // by group
-  std::vector<std::string> report_fields;  // in their order
-  int streams;                             // on one connection to a node
-  Micros connect_within, idle;             // of connections to nodes
+  NameTable groups;
+  NameTable plans;
+  std::vector<bool> writes;                // whether a group's requests write, by group index
+  std::vector<std::string> report_fields;  // names of the values in a load report, in order
+  int streams_per_connection;              // concurrent submits on one connection to a node
+  Micros connect_timeout;                  // of connections to nodes
+  Micros idle_timeout;                     // of connections to nodes
 };
 
-Platform read(const json& settings, std::uint64_t seed);
+// Parses the platform's settings object. Throws BadInput.
+PlatformSettings read_platform_settings(const json& settings, std::uint64_t seed);
 
-// One value of a load report, under the settings' name or the one that it has on sockets; others pass.
-void put_load(LoadReport& report, std::string_view field, double value);
+// Sets one value of a load report by its name in the settings or in a node's reply; ignores other names.
+void set_load_value(LoadReport& report, std::string_view field, double value);
 
 }  // namespace yewmount::provision
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 
 #include "base/base.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace yewmount::relay {
 namespace {
@@ -91,12 +91,13 @@
     given.name = provision::get<std::string>(all, "name");
     given.listen = members::endpoint(provision::get<std::string>(all, "listen"));
     given.members = members::endpoint(provision::get<std::string>(all, "discovery"));
-    const json& limits = provision::part(all, "limits", json::value_t::object);
+    const json& limits = provision::require_typed(all, "limits", json::value_t::object);
     given.sockets = limit(limits, "sockets", 2 * kSpareSockets);
     given.memory = limit(limits, "memory_mb", 1) << 20;
-    given.known = provision::part(all, "known", json::value_t::object);
-    given.platform = provision::read(provision::part(all, "settings", json::value_t::object),
-                                     seed_of(provision::get<std::string>(all, "seed")));
+    given.known = provision::require_typed(all, "known", json::value_t::object);
+    given.platform =
+        provision::read_platform_settings(provision::require_typed(all, "settings", json::value_t::object),
+                                          seed_of(provision::get<std::string>(all, "seed")));
     given.platform.head.may_probe = false;  // the protocol has no probe, whatever the settings allow
     return given;
   } catch (const std::exception& e) {
@@ -109,8 +110,8 @@
       given_(std::move(given)),
       callers_(io, given_.listen, half(given_.sockets), given_.memory / kAheadPart, *this),
       nodes_(io,
-             {given_.platform.streams, half(given_.sockets), given_.platform.connect_within,
-              given_.platform.idle, given_.memory / kValuePart, given_.memory / kHeldPart},
+             {given_.platform.streams_per_connection, half(given_.sockets), given_.platform.connect_timeout,
+              given_.platform.idle_timeout, given_.memory / kValuePart, given_.memory / kHeldPart},
              *this),
       members_(io, given_.platform.head.list_asked, given_.platform.head.seed, *this),
       now_(monotonic_now()),
@@ -131,7 +132,7 @@
 
 void Relay::run() {
   while (true) {
-    const bool caught_up = turns::gather(io_, wakes_.next(monotonic_now() + kStoodStill));
+    const bool caught_up = event_loop::run_handlers(io_, wakes_.next(monotonic_now() + kStoodStill));
     const Micros began = monotonic_now();
     if (caught_up) callers_.caught_up(began);
     turn();
@@ -157,7 +158,7 @@
   turned_ = now_;
   nodes_.deliver(now_);
   callers_.deliver();
-  wakes_.due(now_, [&](std::uint64_t token) { rules_->woke(token); });
+  wakes_.run_due(now_, [&](std::uint64_t token) { rules_->woke(token); });
   rules_->settle();
   nodes_.flush();
   callers_.flush();
@@ -173,7 +174,7 @@
 void Relay::once_a_second(Micros now) {
   swept_ = now;
   members_.tidy();
-  volumes_.tidy(now - kVolumeRest, [&](int index) { return rules_->forget_volume(index); });
+  volumes_.release_unused(now - kVolumeRest, [&](int index) { return rules_->forget_volume(index); });
   if (now - told_ < kTell) return;
   told_ = now;
   logs::info("figures", report());
@@ -256,7 +257,7 @@
   std::uint64_t piece = 0, volume = 0;
   if (!hex(w[1], piece)) return "the piece of data is not 16 hex digits";
   if (!hex(w[2], work.name)) return "the id is not 16 hex digits";
-  const provision::Platform& platform = given_.platform;
+  const provision::PlatformSettings& platform = given_.platform;
   long wait = -1, units = -1, shard = -2, heads = -1;
   std::size_t wait_at = 0, wait_size = 0;
   bool has_volume = false;
@@ -300,17 +301,17 @@
   bio.units = static_cast<int>(units);
   bio.shard = static_cast<int>(shard);
   bio.heads = static_cast<int>(heads);
-  bio.volume = volumes_.use(volume, now_);
+  bio.volume = volumes_.acquire(volume, now_);
   work.give_up_at = bio.give_up_at;
   work.taken = came;
   work.command.before.clear();
-  resp::put_count(work.command.before, static_cast<std::size_t>(command.count));
-  for (int i = 0; i < 3; ++i) resp::put_bulk(work.command.before, w[i]);
+  resp::append_array_header(work.command.before, static_cast<std::size_t>(command.count));
+  for (int i = 0; i < 3; ++i) resp::append_bulk_string(work.command.before, w[i]);
   work.command.fields = w[3];
   work.command.fields.erase(wait_at, wait_size);
   work.command.wait = wait_at;
   work.command.behind.clear();
-  if (write) resp::put_bulk(work.command.behind, w[4]);
+  if (write) resp::append_bulk_string(work.command.behind, w[4]);
   return nullptr;
 }
 
@@ -408,7 +409,7 @@
   by_name_.drop(work.name);
   in_hand_.drop(at);
   works_.release(at);
-  if (work.command.behind.capacity() > resp::kMostLine)
+  if (work.command.behind.capacity() > resp::kMaxLineBytes)
     work.command.behind = {};  // a body's memory is not kept
 }
 
@@ -507,7 +508,7 @@
   ++counts_.ended;
   say_final(at, "ended", "");
   text_.clear();
-  resp::put_bulk(text_, ended.value);
+  resp::append_bulk_string(text_, ended.value);
   callers_.answer(works_[at].caller, text_);
   let_go(at);
 }
@@ -533,7 +534,7 @@
 
 // --- the list of nodes ------------------------------------------------------------------------------------
 
-void Relay::listed(ListKind kind, std::span<const NodeEntry> entries) {
+void Relay::on_membership(ListKind kind, std::span<const NodeEntry> entries) {
   now();
   for (const NodeEntry& e : entries) {
     const members::Known& n = members_.node(e.node);
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -11,12 +11,12 @@
 #include <string_view>
 
 #include "callers/callers.h"
+#include "event_loop/event_loop.h"
 #include "members/members.h"
 #include "nodes/nodes.h"
 #include "provision/provision.h"
 #include "rules/rules.h"
 #include "rules/slab.h"
-#include "turns/turns.h"
 
 namespace yewmount::relay {
 
@@ -26,7 +26,7 @@
   asio::ip::tcp::endpoint listen, members;
   std::size_t sockets = 0, memory = 0;  // descriptors; bytes
   nlohmann::json known;
-  provision::Platform platform;
+  provision::PlatformSettings platform;
 };
 
 // Throws provision::BadInput or std::runtime_error with one line: the place and the reason.
@@ -81,7 +81,7 @@
   Denial may_begin(std::uint64_t id, int no) override;
   void submit_ended(const nodes::Ended& ended) override;
   // members::Told
-  void listed(ListKind kind, std::span<const NodeEntry> entries) override;
+  void on_membership(ListKind kind, std::span<const NodeEntry> entries) override;
   bool may_reuse(int node) override;
   // Surroundings
   void submit(std::uint64_t id, int node, Micros try_for) override;
@@ -109,8 +109,8 @@
   nodes::Nodes nodes_;
   members::Members members_;
   Micros now_ = 0;
-  turns::Wakes wakes_;
-  turns::Indices<std::uint64_t> volumes_;
+  event_loop::TimerList wakes_;
+  event_loop::IndexPool<std::uint64_t> volumes_;
   Slab<Work> works_;
   DensePlaces in_hand_;
   TicketIndex by_id_, by_name_;
--- a/src/resp/resp.h
+++ b/src/resp/resp.h
@@ -1,6 +1,6 @@
-// RESP2 without sockets: commands and answers cut out of bytes, and written. Nothing is kept here: a caller
-// hands in what has come so far and is told whether it is whole. A length is judged as soon as its line is
-// there, so what is too long is known before any of it has come.
+// Parser and writer of RESP2 commands and replies; no sockets and no state. The caller passes all bytes
+// received so far and learns whether they hold a complete message. Lengths are checked as soon as their line
+// is complete, so that oversized values are refused before they arrive.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -9,35 +9,40 @@
 
 namespace yewmount::resp {
 
-inline constexpr std::size_t kMostBody = 64 << 10;  // bytes of a command's last word
-inline constexpr int kMostWords = 8;                // of a command, and values of an answer
-inline constexpr std::size_t kMostLine = 512;       // of any other word or value, and of a line
+inline constexpr std::size_t kMaxBodyBytes = 64 << 10;  // of a command's last word
+inline constexpr int kMaxWords = 8;                     // words of a command, values of a reply
+inline constexpr std::size_t kMaxLineBytes = 512;       // of any other word or value, and of a line
 
-enum class Cut : std::uint8_t { whole, partial, malformed };
+// partial: more bytes are needed.
+enum class ParseStatus : std::uint8_t { complete, partial, malformed };
 
-struct Command {  // views into the bytes that it was cut from
-  std::array<std::string_view, kMostWords> words;
+// A parsed command; its views point into the parsed bytes.
+struct Command {
+  std::array<std::string_view, kMaxWords> words;
   int count = 0;
-  std::size_t bytes = 0;  // of it, where whole
-  const char* why = "";   // where malformed
+  std::size_t bytes = 0;  // length of a complete command
+  const char* why = "";   // reason if malformed
 };
 
-// All words but the last are held to a line's length: only a body may be long.
-Cut cut(std::string_view bytes, Command& command);
+// Parses a command at the start of `bytes`. The last word may have kMaxBodyBytes, the others kMaxLineBytes.
+ParseStatus parse(std::string_view bytes, Command& command);
 
+// A parsed reply; its views point into the parsed bytes.
 struct Reply {
   enum class Kind : std::uint8_t { status, error, bulk, nil, array } kind = Kind::nil;
-  std::string_view text;                            // of a status, error or bulk string
-  std::array<std::string_view, kMostWords> values;  // of an array; a null has no data()
+  std::string_view text;                           // of a status, error or bulk string
+  std::array<std::string_view, kMaxWords> values;  // of an array; a null value has a null data()
   int count = 0;
-  std::size_t bytes = 0;
-  const char* why = "";
+  std::size_t bytes = 0;  // length of a complete reply
+  const char* why = "";   // reason if malformed
 };
 
-// The first value holds `most` bytes at most; those beside it a line's.
-Cut cut(std::string_view bytes, Reply& reply, std::size_t most);
+// Parses a reply at the start of `bytes`. A bulk string and an array's first value may have
+// `max_value_bytes`, other values kMaxLineBytes.
+ParseStatus parse(std::string_view bytes, Reply& reply, std::size_t max_value_bytes);
 
-void put_count(std::string& out, std::size_t words);
-void put_bulk(std::string& out, std::string_view value);
+// Append the header of an array of `words` values, and a bulk string.
+void append_array_header(std::string& out, std::size_t words);
+void append_bulk_string(std::string& out, std::string_view value);
 
 }  // namespace yewmount::resp
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -1,6 +1,6 @@
-// Frames between heads, storage nodes, the list service and the catalogue: codec only, no sockets.
-// Byte by byte in docs/wire.md. Times are whole microseconds. What does not decode throws Malformed, whose
-// text is one line fit for a log and for the peer.
+// Codec of the frames between heads, storage nodes, the list service and the catalogue; no sockets.
+// docs/wire.md specifies the format byte by byte. Times are whole microseconds. Decoding throws
+// MalformedFrame, whose message is one line that may be logged and sent to the peer.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -14,236 +14,289 @@
 
 inline constexpr std::uint8_t kVersion = 2;
 inline constexpr std::size_t kHeaderBytes = 12;
-inline constexpr std::size_t kMetaBytes = 1 << 20;   // the longest meta part of a frame
-inline constexpr std::size_t kDataBytes = 16 << 20;  // the longest data part of a frame
-inline constexpr std::size_t kNameBytes = 1024;      // of a volume, object, node or head
+inline constexpr std::size_t kMaxMetaBytes = 1 << 20;   // of the meta part of a frame
+inline constexpr std::size_t kMaxDataBytes = 16 << 20;  // of the data part of a frame
+inline constexpr std::size_t kMaxTextBytes = 1024;      // of a text field, e.g. a node's name
 
-struct Malformed : std::runtime_error {
+// The received bytes are not a valid frame.
+struct MalformedFrame : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-enum class Type : std::uint8_t {
+// The numbers are part of the wire format, as are those of the other enums.
+enum class FrameType : std::uint8_t {
   hello = 1,
   submit,
   answer,
   cancel,
   probe,
-  probed,
-  ask_list,
+  probe_reply,
+  list_request,
   list,
-  look,
-  found,
+  lookup,
+  lookup_reply,
   change,
-  changed,
+  change_reply,
   fault,
-  walk,
-  walked
+  scan,
+  scan_reply
 };
 
-struct Frame {  // views into the buffer that it was cut from
-  Type type;
-  std::string_view meta, data;
+// A received frame; its views point into the decoder's buffer.
+struct Frame {
+  FrameType type;
+  std::string_view meta;
+  std::string_view data;
 };
 
+// The kind of process at one end of a connection.
 enum class Role : std::uint8_t { head, node, list, catalogue };
-enum class Kind : std::uint8_t { read, write, discard };
-enum class Repeat : std::uint8_t { idempotent, fingerprinted, side_effecting };
-// missing: ended, nothing there. damaged: a write whose data came with another sum; surely not run.
-enum class Outcome : std::uint8_t { ended, error, turned_away, missing, damaged };
+enum class IoKind : std::uint8_t { read, write, discard };
+// Whether a block I/O may be executed more than once; fingerprinted: the node detects repeats by the
+// fingerprint.
+enum class Idempotency : std::uint8_t { idempotent, fingerprinted, side_effecting };
+// The result of a submit at its node.
+enum class Outcome : std::uint8_t {
+  completed,
+  error,
+  rejected,          // not executed
+  not_found,         // completed, but the extent does not exist
+  checksum_mismatch  // the data of a write does not match its checksum; not executed
+};
 
-struct ExtentId {  // unique for ever: the head's random number of its start, and a count
-  std::uint64_t head = 0, serial = 0;
+// Identifies an extent; never reused.
+struct ExtentId {
+  std::uint64_t head = 0;    // random id that the creating head drew at its start
+  std::uint64_t serial = 0;  // counts the extents that the head created
   bool operator==(const ExtentId&) const = default;
 };
 
+// The first frame of each side of a connection.
 struct Hello {
   Role role = Role::head;
   std::string_view name;
-  int shard = -1;           // of a node
-  std::uint64_t start = 0;  // another one at each start of the process
+  int shard = -1;                 // of a node; -1: none
+  std::uint64_t incarnation = 0;  // differs between starts of the process
 };
 
+// One attempt of a block I/O at one node.
 struct Submit {
   std::uint64_t id = 0;
-  int no = 0;  // among the submits of this block I/O, from 0
-  Kind kind = Kind::read;
-  Repeat repeat = Repeat::idempotent;
-  std::string_view group, volume, object;
+  int attempt = 0;  // numbers the submits of the block I/O from 0
+  IoKind kind = IoKind::read;
+  Idempotency idempotency = Idempotency::idempotent;
+  std::string_view group;
+  std::string_view volume;
+  std::string_view object;
   ExtentId extent;
-  std::uint32_t offset = 0, length = 0;  // bytes within the extent
+  std::uint32_t offset = 0;  // bytes from the start of the extent
+  std::uint32_t length = 0;  // bytes
   int units = 1;
   std::uint64_t fingerprint = 0;  // 0: none
-  std::int64_t try_for = 0;       // until the head stops waiting
-  std::uint64_t sum = 0;          // of a write: its whole extent's (src/sums)
+  std::int64_t timeout = 0;       // time until the head stops waiting
+  std::uint64_t checksum = 0;     // of the whole extent (src/sums), for a write; 0: none
 };
 
-// Values of a load report; negative: not told.
+// Load of a node; negative values: not reported.
 struct Load {
-  double outstanding = -1, backlog = -1, utilization = -1;
-  std::int64_t recent = -1;
+  double outstanding = -1;  // block I/Os queued or running
+  double backlog = -1;      // block I/Os queued
+  double utilization = -1;
+  std::int64_t recent_latency = -1;
 };
 
+// The reply to a submit.
 struct Answer {
   std::uint64_t id = 0;
-  int no = 0;
-  Outcome outcome = Outcome::ended;
-  int volume_use = 0, from_others = 0;
+  int attempt = 0;
+  Outcome outcome = Outcome::completed;
+  int volume_use = 0;   // 1 + the volume's load in percent of its plan's nominal load; 0: not reported
+  int from_others = 0;  // load that other heads put on the volume since the last answer
   Load load;
-  std::vector<std::uint64_t> sums{};  // of a read: of each block of the whole extent
+  std::vector<std::uint64_t> block_checksums{};  // of a read: of each block of the whole extent
 };
 
+// Tells the node that the head no longer waits for a submit.
 struct Cancel {
   std::uint64_t id = 0;
-  int no = 0;
+  int attempt = 0;
 };
 
+// Asks a node whether it can serve; answered by a ProbeReply with the same serial.
 struct Probe {
   std::uint64_t serial = 0;
 };
 
-struct Probed {
+struct ProbeReply {
   std::uint64_t serial = 0;
-  Outcome outcome = Outcome::ended;
+  Outcome outcome = Outcome::completed;
   Load load;
 };
 
-struct AskList {
-  bool watch = false;
+// Requests the node list.
+struct ListRequest {
+  bool watch = false;       // whether to send later changes too
   std::uint64_t since = 0;  // the version that the head has; 0: none
 };
 
+// full: all nodes. delta: the changes since the requested version. failed: no list is available.
 enum class ListForm : std::uint8_t { full, delta, failed };
 enum class NodeState : std::uint8_t { gone, ready, draining };
 
+// One node of the list.
 struct ListEntry {
-  std::string name, address, zone;
-  int port = 0, shard = -1;
+  std::string name;
+  std::string address;
+  std::string zone;
+  int port = 0;
+  int shard = -1;
   NodeState state = NodeState::ready;
   double share = 1;
-  std::uint64_t start = 0;  // as in the node's hello
-  std::int64_t age = -1;    // time since that start when the list was sent; -1: long ago
+  std::uint64_t incarnation = 0;  // as in the node's hello
+  std::int64_t uptime = -1;       // since the node's start, when the list was sent; -1: long ago
 };
 
+// The reply to a ListRequest.
 struct List {
   ListForm form = ListForm::full;
   std::uint64_t version = 0;
   std::vector<ListEntry> entries;
 };
 
-struct Placed {  // one extent of an object
+// One extent of an object.
+struct PlacedExtent {
   ExtentId extent;
   std::uint32_t length = 0;
-  int shard = -1, home = -1;  // where it is; where the hash puts it. Unlike: a redirect
-  std::uint64_t sum = 0;      // of all its data; 0: none is known
+  int shard = -1;              // holds the extent
+  int home_shard = -1;         // chosen by the hash; the extent is a redirect if the two differ
+  std::uint64_t checksum = 0;  // of all its data; 0: unknown
 };
 
 struct Object {
-  std::uint64_t stamp = 0;  // of the change that made it; 0: there is none
-  std::uint64_t length = 0;
-  std::vector<Placed> extents;
+  std::uint64_t stamp = 0;   // version: number of the change that created it; 0: the object does not exist
+  std::uint64_t length = 0;  // bytes
+  std::vector<PlacedExtent> extents;
 };
 
-struct Look {
-  std::uint64_t call = 0;
-  std::string_view volume, object;
+// Looks an object up in the catalogue.
+struct Lookup {
+  std::uint64_t call_id = 0;
+  std::string_view volume;
+  std::string_view object;
 };
 
-struct Found {
-  std::uint64_t call = 0;
-  bool there = false;
+// The reply to a Lookup.
+struct LookupReply {
+  std::uint64_t call_id = 0;
+  bool exists = false;
   Object object;
 };
 
-enum class Change : std::uint8_t { put, drop, freed };
+// extents_freed: nodes have deleted extents that no object refers to.
+enum class ChangeKind : std::uint8_t { put, remove, extents_freed };
+// What must hold for the object before a change; stamp: it has the given stamp.
 enum class Condition : std::uint8_t { none, absent, present, stamp };
-enum class Changed : std::uint8_t { done, conflict, absent, unwritable };
+enum class ChangeResult : std::uint8_t { done, conflict, absent, unwritable };
 
-struct Alter {
-  std::uint64_t call = 0;
-  Change change = Change::put;
+// Changes the catalogue.
+struct ChangeRequest {
+  std::uint64_t call_id = 0;
+  ChangeKind kind = ChangeKind::put;
   Condition condition = Condition::none;
   std::uint64_t stamp = 0;  // for Condition::stamp
-  std::string_view volume, name;
-  Object object;  // put: its extents; freed: extents that nodes no longer hold
+  std::string_view volume;
+  std::string_view name;
+  Object object;  // put: the new object; extents_freed: the deleted extents
 };
 
-struct Altered {
-  std::uint64_t call = 0;
-  Changed changed = Changed::done;
-  Object now;     // after a put
-  Object before;  // what it took the place of
+// The reply to a ChangeRequest.
+struct ChangeReply {
+  std::uint64_t call_id = 0;
+  ChangeResult result = ChangeResult::done;
+  Object current;   // after a put
+  Object previous;  // replaced or removed by the change
 };
 
-struct Walk {  // the objects after one, in the catalogue's order; empty texts: from the first
-  std::uint64_t call = 0;
-  std::string_view volume, object;
-  int most = 0;
+// Requests a page of the objects that follow the given one in the catalogue's order; empty texts: from the
+// first.
+struct Scan {
+  std::uint64_t call_id = 0;
+  std::string_view volume;
+  std::string_view object;
+  int max_entries = 0;
 };
 
-struct Walked {
+// The reply to a Scan.
+struct ScanReply {
   struct Entry {
-    std::string volume, name;
+    std::string volume;
+    std::string name;
     Object object;
   };
-  std::uint64_t call = 0;
-  bool end = false;  // there are none after these
+  std::uint64_t call_id = 0;
+  bool at_end = false;  // no objects follow
   std::vector<Entry> entries;
 };
 
+// Reports malformed input to the peer; the sender closes the connection after it.
 struct Fault {
   std::string_view reason;
 };
 
-// Each appends one whole frame.
-void put(std::string& out, const Hello& m);
-void put(std::string& out, const Submit& m, std::string_view data);
-void put(std::string& out, const Answer& m, std::string_view data);
-void put(std::string& out, const Cancel& m);
-void put(std::string& out, const Probe& m);
-void put(std::string& out, const Probed& m);
-void put(std::string& out, const AskList& m);
-void put(std::string& out, const List& m);
-void put(std::string& out, const Look& m);
-void put(std::string& out, const Found& m);
-void put(std::string& out, const Alter& m);
-void put(std::string& out, const Altered& m);
-void put(std::string& out, const Walk& m);
-void put(std::string& out, const Walked& m);
-void put(std::string& out, const Fault& m);
-
-// Each decodes the meta part of a frame of its type; views point into it.
-void get(const Frame& f, Hello& m);
-void get(const Frame& f, Submit& m);
-void get(const Frame& f, Answer& m);
-void get(const Frame& f, Cancel& m);
-void get(const Frame& f, Probe& m);
-void get(const Frame& f, Probed& m);
-void get(const Frame& f, AskList& m);
-void get(const Frame& f, List& m);
-void get(const Frame& f, Look& m);
-void get(const Frame& f, Found& m);
-void get(const Frame& f, Alter& m);
-void get(const Frame& f, Altered& m);
-void get(const Frame& f, Walk& m);
-void get(const Frame& f, Walked& m);
-void get(const Frame& f, Fault& m);
-
-// An object alone, as the catalogue stores it.
-std::string pack(const Object& object);
-Object unpack(std::string_view bytes);
-
-// Bytes as they come in, cut into frames.
-class Inbox {
+// Appends one complete frame to `out`.
+void encode(std::string& out, const Hello& message);
+void encode(std::string& out, const Submit& message, std::string_view data);
+void encode(std::string& out, const Answer& message, std::string_view data);
+void encode(std::string& out, const Cancel& message);
+void encode(std::string& out, const Probe& message);
+void encode(std::string& out, const ProbeReply& message);
+void encode(std::string& out, const ListRequest& message);
+void encode(std::string& out, const List& message);
+void encode(std::string& out, const Lookup& message);
+void encode(std::string& out, const LookupReply& message);
+void encode(std::string& out, const ChangeRequest& message);
+void encode(std::string& out, const ChangeReply& message);
+void encode(std::string& out, const Scan& message);
+void encode(std::string& out, const ScanReply& message);
+void encode(std::string& out, const Fault& message);
+
+// Decodes the meta part of a frame of the message's type; views in the message point into the frame. Throws
+// MalformedFrame.
+void decode(const Frame& frame, Hello& message);
+void decode(const Frame& frame, Submit& message);
+void decode(const Frame& frame, Answer& message);
+void decode(const Frame& frame, Cancel& message);
+void decode(const Frame& frame, Probe& message);
+void decode(const Frame& frame, ProbeReply& message);
+void decode(const Frame& frame, ListRequest& message);
+void decode(const Frame& frame, List& message);
+void decode(const Frame& frame, Lookup& message);
+void decode(const Frame& frame, LookupReply& message);
+void decode(const Frame& frame, ChangeRequest& message);
+void decode(const Frame& frame, ChangeReply& message);
+void decode(const Frame& frame, Scan& message);
+void decode(const Frame& frame, ScanReply& message);
+void decode(const Frame& frame, Fault& message);
+
+// Encodes and decodes an object alone, as the catalogue stores it. Decoding throws MalformedFrame.
+std::string encode_object(const Object& object);
+Object decode_object(std::string_view bytes);
+
+// Splits received bytes into frames.
+class FrameDecoder {
  public:
-  // Room for at least so many bytes more; what next() gave out before is no longer good.
-  std::span<char> room(std::size_t bytes);
-  void came(std::size_t bytes) { filled_ += bytes; }
-  bool next(Frame& frame);  // false: no whole frame yet
-  bool half() const { return filled_ > taken_; }
+  // Returns space for at least `bytes` more bytes; invalidates the frames that next() has returned.
+  std::span<char> prepare(std::size_t bytes);
+  // Records that `bytes` bytes have been received into the prepared space.
+  void commit(std::size_t bytes) { filled_ += bytes; }
+  // Extracts the next frame; returns false if none is complete. Throws MalformedFrame.
+  bool next(Frame& frame);
+  bool has_partial_frame() const { return filled_ > consumed_; }
 
  private:
   std::string bytes_;
-  std::size_t taken_ = 0, filled_ = 0;
+  std::size_t consumed_ = 0;  // end of the bytes that next() has returned
+  std::size_t filled_ = 0;    // end of the received bytes
 };
 
 }  // namespace yewmount::wire
--- a/standins/client_main.cpp
+++ b/standins/client_main.cpp
@@ -10,7 +10,7 @@
 #include <map>
 #include <random>
 
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 #include "standins/lines.h"
 
 namespace yewmount::standins {
--- a/standins/list_main.cpp
+++ b/standins/list_main.cpp
@@ -15,7 +15,7 @@
 
 constexpr const char* kStates[] = {"gone", "ready", "draining"};
 
-class List : public net::LinkOwner {
+class List : public net::LinkHandler {
  public:
   List(asio::io_context& io, std::uint16_t port, std::uint16_t control, const std::string& record)
       : record_(record),
@@ -24,7 +24,7 @@
                     auto link = std::make_shared<net::Link>(std::move(s), *this);
                     link->number = ++last_;
                     clients_[link->number].link = link;
-                    wire::put(link->out(), wire::Hello{wire::Role::list, "list", -1, 1});
+                    wire::encode(link->out(), wire::Hello{wire::Role::list, "list", -1, 1});
                     link->start();
                   }),
         control_(io, control, [this](const json& c) { obey(c); }) {}
@@ -54,20 +54,20 @@
 
   void on_frame(net::Link& link, const wire::Frame& frame) override {
     Client& client = clients_.at(link.number);
-    if (frame.type == wire::Type::hello) {
+    if (frame.type == wire::FrameType::hello) {
       wire::Hello hello;
-      wire::get(frame, hello);
+      wire::decode(frame, hello);
       client.head = std::string(hello.name);
       return;
     }
-    if (frame.type != wire::Type::ask_list)
-      throw wire::Malformed("a list service takes no frame of this type");
-    wire::AskList ask;
-    wire::get(frame, ask);
+    if (frame.type != wire::FrameType::list_request)
+      throw wire::MalformedFrame("a list service takes no frame of this type");
+    wire::ListRequest ask;
+    wire::decode(frame, ask);
     record_.add({{"ev", "ask"}, {"head", client.head}, {"watch", ask.watch}, {"since", ask.since}});
     if (mute_) return;
     if (failing_) {
-      wire::put(link.out(), wire::List{wire::ListForm::failed, version_, {}});
+      wire::encode(link.out(), wire::List{wire::ListForm::failed, version_, {}});
       return;
     }
     client.watches |= ask.watch;
@@ -100,11 +100,11 @@
       if (e.version <= since) continue;
       if (form == wire::ListForm::full && e.entry.state == wire::NodeState::gone) continue;
       list.entries.push_back(e.entry);
-      list.entries.back().age = e.started == 0 ? -1 : monotonic_now() - e.started;
+      list.entries.back().uptime = e.started == 0 ? -1 : monotonic_now() - e.started;
       told.push_back(
           {{"node", name}, {"state", kStates[static_cast<int>(e.entry.state)]}, {"started", e.started}});
     }
-    wire::put(c.link->out(), list);
+    wire::encode(c.link->out(), list);
     record_.add({{"ev", "told"},
                  {"head", c.head},
                  {"form", form == wire::ListForm::full ? "full" : "delta"},
@@ -131,7 +131,7 @@
       entry.port = e.at("port").get<int>();
       entry.shard = e.at("shard").get<int>();
       entry.share = e.value("share", 1.0);
-      entry.start = e.value("start", std::uint64_t{0});
+      entry.incarnation = e.value("start", std::uint64_t{0});
       const std::string state = e.value("state", "ready");
       for (int s = 0; s < 3; ++s)
         if (state == kStates[s]) entry.state = static_cast<wire::NodeState>(s);
--- a/standins/node.cpp
+++ b/standins/node.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <filesystem>
 
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 #include "sums/sums.h"
 
 namespace yewmount::standins {
@@ -66,7 +66,7 @@
     : io_(io),
       given_(std::move(given)),
       record_(given_.record),
-      start_(fresh_number()),
+      start_(random_id()),
       born_(monotonic_now()),
       random_(given_.seed),
       control_(io, given_.control_port, [this](const json& c) { obey(c); }) {
@@ -78,7 +78,7 @@
         auto link = std::make_shared<net::Link>(std::move(s), *this);
         link->number = ++last_conn_;
         clients_[link->number].link = link;
-        wire::put(link->out(), wire::Hello{wire::Role::node, given_.name, given_.shard, start_});
+        wire::encode(link->out(), wire::Hello{wire::Role::node, given_.name, given_.shard, start_});
         link->start();
       });
   record_.add({{"ev", "start"},
@@ -118,50 +118,50 @@
 void Node::on_frame(net::Link& link, const wire::Frame& frame) {
   Client& client = clients_.at(link.number);
   switch (frame.type) {
-    case wire::Type::hello: {
+    case wire::FrameType::hello: {
       wire::Hello hello;
-      wire::get(frame, hello);
+      wire::decode(frame, hello);
       client.head = std::string(hello.name);
       record_.add({{"ev", "hello"}, {"node", given_.name}, {"conn", link.number}, {"head", client.head}});
       return;
     }
-    case wire::Type::submit: {
+    case wire::FrameType::submit: {
       wire::Submit submit;
-      wire::get(frame, submit);
+      wire::decode(frame, submit);
       record_.add({{"ev", "submit"},
                    {"node", given_.name},
                    {"conn", link.number},
                    {"head", client.head},
                    {"id", hex(submit.id)},
-                   {"no", submit.no},
+                   {"no", submit.attempt},
                    {"kind", kKinds[static_cast<int>(submit.kind)]},
-                   {"repeat", kRepeats[static_cast<int>(submit.repeat)]},
+                   {"repeat", kRepeats[static_cast<int>(submit.idempotency)]},
                    {"group", submit.group},
                    {"volume", submit.volume},
                    {"object", submit.object},
                    {"units", submit.units}});
       return take(link, submit, frame.data);
     }
-    case wire::Type::cancel: {
+    case wire::FrameType::cancel: {
       wire::Cancel cancel;
-      wire::get(frame, cancel);
+      wire::decode(frame, cancel);
       // As most real ones do: running work goes on, and so does what waits.
       record_.add({{"ev", "cancel"},
                    {"node", given_.name},
                    {"head", client.head},
                    {"id", hex(cancel.id)},
-                   {"no", cancel.no}});
+                   {"no", cancel.attempt}});
       return;
     }
-    case wire::Type::probe: {
+    case wire::FrameType::probe: {
       wire::Probe probe;
-      wire::get(frame, probe);
+      wire::decode(frame, probe);
       record_.add({{"ev", "probe"}, {"node", given_.name}, {"head", client.head}});
-      if (!hang_) wire::put(link.out(), wire::Probed{probe.serial, wire::Outcome::ended, load()});
+      if (!hang_) wire::encode(link.out(), wire::ProbeReply{probe.serial, wire::Outcome::completed, load()});
       return;
     }
     default:
-      throw wire::Malformed("a node takes no frame of this type");
+      throw wire::MalformedFrame("a node takes no frame of this type");
   }
 }
 
@@ -174,7 +174,7 @@
   job.group = submit.group, job.volume = submit.volume, job.object = submit.object;
   job.data = data;
   job.came = now;
-  if (submit.kind == wire::Kind::write && chance(flip_in_)) flip(job.data, "in", job);
+  if (submit.kind == wire::IoKind::write && chance(flip_in_)) flip(job.data, "in", job);
   if (over_sent(now, submit.units)) {
     fallen_ = true;
     record_.add({{"ev", "fell"}, {"node", given_.name}, {"units", arrived_}, {"warmth", warmth(now)}});
@@ -182,25 +182,25 @@
   }
   if (chance(errors_)) return answer(link.number, job, wire::Outcome::error, {});
   if (draining_ || static_cast<int>(waiting_.size()) >= given_.room)
-    return answer(link.number, job, wire::Outcome::turned_away, {});
+    return answer(link.number, job, wire::Outcome::rejected, {});
   // Looked at before anything else: what came in damaged is surely not run.
-  if (submit.kind == wire::Kind::write && submit.sum != 0 &&
-      sums::whole(submit.extent, job.data) != submit.sum) {
+  if (submit.kind == wire::IoKind::write && submit.checksum != 0 &&
+      sums::whole(submit.extent, job.data) != submit.checksum) {
     record_.add({{"ev", "caught"}, {"node", given_.name}, {"head", job.head}, {"id", hex(submit.id)}});
-    return answer(link.number, job, wire::Outcome::damaged, {});
+    return answer(link.number, job, wire::Outcome::checksum_mismatch, {});
   }
   job.work = submit.units * given_.unit_us;
   if (given_.spread > 0)
     job.work *= std::lognormal_distribution<>(-given_.spread * given_.spread / 2, given_.spread)(random_);
   if ((heavy_group_.empty() || heavy_group_ == job.group) && chance(heavy_part_)) job.work *= heavy_;
-  if (submit.kind == wire::Kind::write && given_.put_off > 0) {
+  if (submit.kind == wire::IoKind::write && given_.put_off > 0) {
     put_off_ += job.work * given_.put_off;
     job.work *= 1 - given_.put_off;
   }
-  if (submit.kind == wire::Kind::discard) job.work /= 4;
+  if (submit.kind == wire::IoKind::discard) job.work /= 4;
   if (given_.remembers > 0) {
     const std::string key = job.volume + '/' + job.object;
-    if (submit.no == 0 && std::find(keys_.begin(), keys_.end(), key) != keys_.end())
+    if (submit.attempt == 0 && std::find(keys_.begin(), keys_.end(), key) != keys_.end())
       job.work *= 1 - given_.seek_saved;
     keys_.push_back(key);
     if (static_cast<int>(keys_.size()) > given_.remembers) keys_.pop_front();
@@ -248,33 +248,34 @@
                {"where", where},
                {"head", job.head},
                {"id", hex(job.submit.id)},
-               {"no", job.submit.no},
+               {"no", job.submit.attempt},
                {"volume", job.volume},
                {"object", job.object}});
 }
 
 wire::Outcome Node::run(Job& job, std::string& read, std::vector<std::uint64_t>& sums) {
   const wire::Submit& s = job.submit;
-  if (s.repeat == wire::Repeat::fingerprinted && s.fingerprint != 0 && s.kind != wire::Kind::read) {
+  if (s.idempotency == wire::Idempotency::fingerprinted && s.fingerprint != 0 &&
+      s.kind != wire::IoKind::read) {
     const std::int64_t now = monotonic_now();
     const auto [it, fresh] = fingerprints_.try_emplace(s.fingerprint, now);
     const bool repeated = !fresh && now - it->second < given_.memory_span;
     if (!repeated) it->second = now;
-    if (repeated) return wire::Outcome::ended;  // it ran before and is not run again
+    if (repeated) return wire::Outcome::completed;  // it ran before and is not run again
   }
-  if (s.kind != wire::Kind::read)
+  if (s.kind != wire::IoKind::read)
     record_.add({{"ev", "ran"},
                  {"node", given_.name},
                  {"head", job.head},
                  {"id", hex(s.id)},
-                 {"no", s.no},
+                 {"no", s.attempt},
                  {"kind", kKinds[static_cast<int>(s.kind)]},
-                 {"repeat", kRepeats[static_cast<int>(s.repeat)]},
+                 {"repeat", kRepeats[static_cast<int>(s.idempotency)]},
                  {"volume", job.volume},
                  {"object", job.object}});
   const std::pair key(s.extent.head, s.extent.serial);
   const bool files = !given_.store.empty();
-  if (s.kind == wire::Kind::write) {
+  if (s.kind == wire::IoKind::write) {
     sums::blocks(s.extent, job.data, sums);
     if (chance(flip_rest_)) flip(job.data, "rest", job);
     if (files) {
@@ -283,24 +284,24 @@
       const bool done = write_file(file_of(s.extent) + ".sums", bytes).empty() &&
                         write_file(file_of(s.extent), job.data).empty();
       sums.clear();
-      return done ? wire::Outcome::ended : wire::Outcome::error;
+      return done ? wire::Outcome::completed : wire::Outcome::error;
     }
     sums_[key] = std::move(sums);
     sums.clear();
     memory_[key] = std::move(job.data);
-    return wire::Outcome::ended;
+    return wire::Outcome::completed;
   }
-  if (s.kind == wire::Kind::discard) {
+  if (s.kind == wire::IoKind::discard) {
     if (files) std::filesystem::remove(file_of(s.extent) + ".sums");
     sums_.erase(key);
     if (files)
-      return std::filesystem::remove(file_of(s.extent)) ? wire::Outcome::ended : wire::Outcome::missing;
-    return memory_.erase(key) > 0 ? wire::Outcome::ended : wire::Outcome::missing;
+      return std::filesystem::remove(file_of(s.extent)) ? wire::Outcome::completed : wire::Outcome::not_found;
+    return memory_.erase(key) > 0 ? wire::Outcome::completed : wire::Outcome::not_found;
   }
   std::string from_disk;
   std::string_view all;
   if (files) {
-    if (!read_file(file_of(s.extent), from_disk).empty()) return wire::Outcome::missing;
+    if (!read_file(file_of(s.extent), from_disk).empty()) return wire::Outcome::not_found;
     std::string bytes;
     if (read_file(file_of(s.extent) + ".sums", bytes).empty()) {
       sums.resize(bytes.size() / sizeof sums[0]);
@@ -309,13 +310,13 @@
     all = from_disk;
   } else {
     const auto it = memory_.find(key);
-    if (it == memory_.end()) return wire::Outcome::missing;
+    if (it == memory_.end()) return wire::Outcome::not_found;
     all = it->second;
     sums = sums_[key];
   }
   if (s.offset > all.size() || s.length > all.size() - s.offset) return wire::Outcome::error;
   read.assign(all.substr(s.offset, s.length));
-  return wire::Outcome::ended;
+  return wire::Outcome::completed;
 }
 
 void Node::finish(int at) {
@@ -339,7 +340,7 @@
                  {"node", given_.name},
                  {"head", job.head},
                  {"id", hex(job.submit.id)},
-                 {"no", job.submit.no}});
+                 {"no", job.submit.attempt}});
     return;
   }
   if (chance(cut_)) {
@@ -368,23 +369,23 @@
   if (now - reported_at_ >= given_.report_every) told_ = load(), reported_at_ = now;
   wire::Answer a;
   a.id = job.submit.id;
-  a.no = job.submit.no;
+  a.attempt = job.submit.attempt;
   a.outcome = outcome;
   a.load = told_;
-  a.sums = std::move(sums);
+  a.block_checksums = std::move(sums);
   if (given_.tells_elsewhere) {
     Meter& meter = meters_[job.volume];
     auto& [own, told] = meter.heads[job.head];
     a.from_others = static_cast<int>(std::min<std::int64_t>(meter.all - own - told, 1'000'000));
     told = meter.all - own;
   }
-  wire::put(it->second.link->out(), a, data);
+  wire::encode(it->second.link->out(), a, data);
   record_.add({{"ev", "answer"},
                {"node", given_.name},
                {"conn", conn},
                {"head", job.head},
                {"id", hex(job.submit.id)},
-               {"no", job.submit.no},
+               {"no", job.submit.attempt},
                {"outcome", kOutcomes[static_cast<int>(outcome)]}});
 }
 
@@ -415,7 +416,7 @@
       out += std::string("YM\x02\x03\x00\x00\x00\x10\x80\x00\x00\x00", 12);
     } else if (how == "half") {
       std::string frame;
-      wire::put(frame, wire::Answer{}, "half of it");
+      wire::encode(frame, wire::Answer{}, "half of it");
       out += frame.substr(0, frame.size() / 2);
       c.link->close_after_flush();
     } else {
--- a/standins/node.h
+++ b/standins/node.h
@@ -29,7 +29,7 @@
 
 NodeProvision load_node(const std::string& path);
 
-class Node : public net::LinkOwner {
+class Node : public net::LinkHandler {
  public:
   Node(asio::io_context& io, NodeProvision given);
   ~Node() override;
--- a/standins/node_main.cpp
+++ b/standins/node_main.cpp
@@ -15,7 +15,7 @@
     asio::io_context io(1);
     std::signal(SIGPIPE, SIG_IGN);
     standins::NodeProvision given = standins::load_node(file);
-    logs::start("yewmount-node", given.name);
+    logs::init("yewmount-node", given.name);
     const std::string name = given.name;
     standins::Node node(io, std::move(given));
     standins::serve(io, node,
--- a/tests/carrier/carrier_test.cpp
+++ b/tests/carrier/carrier_test.cpp
@@ -38,9 +38,9 @@
   void SetUp() override { carrier.node_at(0, {"n0", "127.0.0.1", peer.port(), 0}); }
   void submit(std::uint64_t id, Micros try_for = 1'000'000, std::string_view data = "x", int no = 0) {
     wire::Submit s;
-    s.id = id, s.no = no;
-    s.kind = wire::Kind::write;
-    s.repeat = wire::Repeat::side_effecting;
+    s.id = id, s.attempt = no;
+    s.kind = wire::IoKind::write;
+    s.idempotency = wire::Idempotency::side_effecting;
     s.group = "g", s.volume = "v", s.object = "o";
     s.length = static_cast<std::uint32_t>(data.size());
     carrier.submit(0, s, data, monotonic_now(), try_for);
@@ -62,8 +62,8 @@
 TEST_F(Carrying, AnAnswerEndsItsSubmitOnceAndLaterOnesAreNobodys) {
   peer.on_connect = [](Peer::Conn& c) { c.hello("n0"); };
   peer.on_submit = [](Peer::Conn& c, const wire::Submit& s) {
-    c.answer(s.id, s.no, "data");
-    c.answer(s.id, s.no, "again");
+    c.answer(s.id, s.attempt, "data");
+    c.answer(s.id, s.attempt, "again");
   };
   submit(7);
   ASSERT_TRUE(until(1));
@@ -134,7 +134,7 @@
   idle(50);
   EXPECT_EQ(heard.all.size(), 1u);
   // The connection is still good for the next.
-  peer.on_submit = [](Peer::Conn& c, const wire::Submit& s) { c.answer(s.id, s.no); };
+  peer.on_submit = [](Peer::Conn& c, const wire::Submit& s) { c.answer(s.id, s.attempt); };
   submit(14);
   ASSERT_TRUE(until(2));
   EXPECT_EQ(heard.all[1].result, Result::ended);
@@ -174,7 +174,7 @@
     std::string frame;
     wire::Answer a;
     a.id = s.id;
-    wire::put(frame, a, "data");
+    wire::encode(frame, a, "data");
     c.send(frame.substr(0, frame.size() - 2));
     c.socket.shutdown(asio::socket_base::shutdown_send);
   };
@@ -209,7 +209,7 @@
     }
   // Now the node reads on.
   std::vector<std::uint64_t> ids;
-  wire::Inbox inbox;
+  wire::FrameDecoder inbox;
   std::vector<char> part(1 << 20);
   std::vector<std::string> datas;
   peer.conns[0]->socket.non_blocking(true);
@@ -220,13 +220,13 @@
         std::error_code error;
         const std::size_t n = peer.conns[0]->socket.read_some(asio::buffer(part), error);
         if (error) return;
-        std::copy_n(part.data(), n, inbox.room(n).data());
-        inbox.came(n);
+        std::copy_n(part.data(), n, inbox.prepare(n).data());
+        inbox.commit(n);
         wire::Frame f;
         while (inbox.next(f)) {
-          if (f.type != wire::Type::submit) continue;
+          if (f.type != wire::FrameType::submit) continue;
           wire::Submit s;
-          wire::get(f, s);
+          wire::decode(f, s);
           ids.push_back(s.id);
         }
       },
@@ -263,7 +263,7 @@
 // Guards against memory that grows with the rate times the longest hard limit.
 TEST_F(Carrying, TimeOutsOfWhatHasEndedAreNotKept) {
   peer.on_connect = [](Peer::Conn& c) { c.hello("n0"); };
-  peer.on_submit = [](Peer::Conn& c, const wire::Submit& s) { c.answer(s.id, s.no); };
+  peer.on_submit = [](Peer::Conn& c, const wire::Submit& s) { c.answer(s.id, s.attempt); };
   submit(1, 200'000);
   for (std::uint64_t i = 2; i <= 8000; ++i) {
     submit(i, 3'600'000'000);
@@ -277,7 +277,7 @@
   peer.on_submit = nullptr;
   submit(9001, 150'000);
   peer.on_submit = [](Peer::Conn& c, const wire::Submit& s) {
-    if (s.id != 9001) c.answer(s.id, s.no);
+    if (s.id != 9001) c.answer(s.id, s.attempt);
   };
   for (std::uint64_t i = 10'000; i < 13'000; ++i) {
     submit(i, 3'600'000'000);
@@ -311,7 +311,7 @@
   EXPECT_FALSE(carrier.forget(0)) << "a submit is out";
   Peer next(io);
   next.on_connect = [](Peer::Conn& c) { c.hello("n0", 2); };
-  next.on_submit = [](Peer::Conn& c, const wire::Submit& s) { c.answer(s.id, s.no); };
+  next.on_submit = [](Peer::Conn& c, const wire::Submit& s) { c.answer(s.id, s.attempt); };
   carrier.node_at(0, {"n0", "127.0.0.1", next.port(), 2});
   ASSERT_TRUE(until(1));
   EXPECT_EQ(heard.all[0].result, Result::lost);
@@ -334,7 +334,8 @@
   peer.on_submit = [&](Peer::Conn& c, const wire::Submit& s) {
     ++read[s.id];
     const unsigned what = chance() % 10;
-    if (what < 6) c.answer(s.id, s.no, {}, what == 0 ? wire::Outcome::turned_away : wire::Outcome::ended);
+    if (what < 6)
+      c.answer(s.id, s.attempt, {}, what == 0 ? wire::Outcome::rejected : wire::Outcome::completed);
     if (what == 6) c.reset();
     if (what == 7) c.send("noise");
   };
--- a/tests/catalogue/store_test.cpp
+++ b/tests/catalogue/store_test.cpp
@@ -18,19 +18,19 @@
 namespace {
 
 using namespace catalogue;
-using wire::Change;
-using wire::Changed;
+using wire::ChangeKind;
+using wire::ChangeResult;
 using wire::Condition;
 
 struct Folder {
   std::string path =
-      std::filesystem::temp_directory_path() / ("yewmount-test-" + std::to_string(fresh_number()));
+      std::filesystem::temp_directory_path() / ("yewmount-test-" + std::to_string(random_id()));
   ~Folder() { std::filesystem::remove_all(path); }
 };
 
-wire::Alter put(std::string_view name, std::uint64_t serial, Condition c = Condition::none,
+wire::ChangeRequest put(std::string_view name, std::uint64_t serial, Condition c = Condition::none,
                 std::uint64_t stamp = 0) {
-  wire::Alter a;
+  wire::ChangeRequest a;
   a.volume = "v", a.name = name;
   a.condition = c, a.stamp = stamp;
   a.object.length = 5;
@@ -38,7 +38,7 @@
   return a;
 }
 
-Outcome one(Store& store, const wire::Alter& a) {
+Outcome one(Store& store, const wire::ChangeRequest& a) {
   store.gather(a);
   std::string why;
   const auto all = store.commit(why);
@@ -54,18 +54,18 @@
   store.gather(put("b", 3, Condition::present));
   std::string why;
   const auto all = store.commit(why);
-  EXPECT_EQ(all[0].changed, Changed::done);
-  EXPECT_EQ(all[1].changed, Changed::conflict) << "two heads on one name: the later is told";
-  EXPECT_EQ(all[2].changed, Changed::conflict);
+  EXPECT_EQ(all[0].changed, ChangeResult::done);
+  EXPECT_EQ(all[1].changed, ChangeResult::conflict) << "two heads on one name: the later is told";
+  EXPECT_EQ(all[2].changed, ChangeResult::conflict);
   const Outcome next = one(store, put("a", 4, Condition::stamp, all[0].now.stamp));
-  EXPECT_EQ(next.changed, Changed::done);
+  EXPECT_EQ(next.changed, ChangeResult::done);
   EXPECT_GT(next.now.stamp, all[0].now.stamp);
   EXPECT_EQ(next.before.extents.at(0).extent.serial, 1u);
-  EXPECT_EQ(one(store, put("a", 5, Condition::stamp, all[0].now.stamp)).changed, Changed::conflict);
-  wire::Alter drop;
-  drop.change = Change::drop, drop.volume = "v", drop.name = "a";
-  EXPECT_EQ(one(store, drop).changed, Changed::done);
-  EXPECT_EQ(one(store, drop).changed, Changed::absent);
+  EXPECT_EQ(one(store, put("a", 5, Condition::stamp, all[0].now.stamp)).changed, ChangeResult::conflict);
+  wire::ChangeRequest drop;
+  drop.kind = ChangeKind::remove, drop.volume = "v", drop.name = "a";
+  EXPECT_EQ(one(store, drop).changed, ChangeResult::done);
+  EXPECT_EQ(one(store, drop).changed, ChangeResult::absent);
   wire::Object object;
   EXPECT_FALSE(store.look("v", "a", object));
 }
@@ -79,8 +79,8 @@
   ASSERT_EQ(freed.size(), 1u);
   EXPECT_EQ(freed[0].extent.serial, 1u);
   EXPECT_EQ(freed[0].shard, 2);
-  wire::Alter gone;
-  gone.change = Change::freed;
+  wire::ChangeRequest gone;
+  gone.kind = ChangeKind::extents_freed;
   gone.object.extents = second.before.extents;
   one(store, gone);
   EXPECT_TRUE(store.freed(10).empty());
@@ -103,7 +103,7 @@
     std::set<std::string> seen;
     std::string volume, name;
     for (bool end = false; !end;) {
-      std::vector<wire::Walked::Entry> page;
+      std::vector<wire::ScanReply::Entry> page;
       end = store.walk(volume, name, most, page);
       ASSERT_TRUE(end || static_cast<int>(page.size()) == most);
       for (const auto& e : page) {
@@ -115,10 +115,10 @@
     }
     EXPECT_EQ(seen, names) << most;
   }
-  std::vector<wire::Walked::Entry> first, rest;
+  std::vector<wire::ScanReply::Entry> first, rest;
   store.walk("", "", 5, first);
-  wire::Alter drop = put(first.back().name, 0);
-  drop.change = wire::Change::drop;
+  wire::ChangeRequest drop = put(first.back().name, 0);
+  drop.kind = wire::ChangeKind::remove;
   one(store, drop);
   EXPECT_TRUE(store.walk("v", first.back().name, 100, rest));
   EXPECT_EQ(rest.size(), names.size() - 5);
@@ -131,21 +131,21 @@
   Store store(folder.path, 64 << 20);
   std::string why;
   for (int i = 0; i < 12; ++i) {
-    wire::Alter a = put("big" + std::to_string(i), 1);
+    wire::ChangeRequest a = put("big" + std::to_string(i), 1);
     a.object.extents.clear();
     for (std::uint64_t e = 0; e < 4095; ++e)
       a.object.extents.push_back({{~0ull, ~0ull - e}, 8 << 20, 100000, 100000, ~0ull});
     store.gather(a);
-    ASSERT_EQ(store.commit(why).at(0).changed, Changed::done) << why;
+    ASSERT_EQ(store.commit(why).at(0).changed, ChangeResult::done) << why;
   }
   std::size_t seen = 0;
   std::string volume, name;
   for (bool end = false; !end;) {
-    wire::Walked page;
-    end = page.end = store.walk(volume, name, 200, page.entries);
+    wire::ScanReply page;
+    end = page.at_end = store.walk(volume, name, 200, page.entries);
     std::string frame;
-    wire::put(frame, page);
-    ASSERT_LE(frame.size(), wire::kMetaBytes);
+    wire::encode(frame, page);
+    ASSERT_LE(frame.size(), wire::kMaxMetaBytes);
     seen += page.entries.size();
     volume = page.entries.back().volume, name = page.entries.back().name;
   }
@@ -178,7 +178,7 @@
     if (why.empty())
       ++done;
     else
-      EXPECT_EQ(all.at(0).changed, Changed::unwritable);
+      EXPECT_EQ(all.at(0).changed, ChangeResult::unwritable);
   }
   ASSERT_NE(why, "");
   EXPECT_GT(done, 100);
@@ -266,8 +266,8 @@
   const std::int64_t now = monotonic_now();
   ASSERT_NE(client.kept("v", "a", now), nullptr);
   EXPECT_EQ(client.kept("v", "a", now + 2'000'000), nullptr);
-  wire::Alter drop;
-  drop.change = Change::drop, drop.volume = "v", drop.name = "a";
+  wire::ChangeRequest drop;
+  drop.kind = ChangeKind::remove, drop.volume = "v", drop.name = "a";
   client.alter(drop, monotonic_now() + 1'000'000, then());
   ASSERT_TRUE(until(2));
   EXPECT_EQ(client.kept("v", "a", monotonic_now()), nullptr);
--- a/tests/head/head_test.cpp
+++ b/tests/head/head_test.cpp
@@ -10,7 +10,7 @@
 
 #include "catalogue/server.h"
 #include "head/daemon.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 #include "sums/sums.h"
 #include "tests/support/peer.h"
 
@@ -72,7 +72,7 @@
 // in one thread, the head in another.
 struct Running : ::testing::Test {
   std::string folder =
-      std::filesystem::temp_directory_path() / ("yewmount-head-" + std::to_string(fresh_number()));
+      std::filesystem::temp_directory_path() / ("yewmount-head-" + std::to_string(random_id()));
   asio::io_context side;
   std::unique_ptr<catalogue::Store> store;
   std::unique_ptr<catalogue::Server> server;
@@ -134,7 +134,7 @@
       nodes.push_back(std::make_unique<Peer>(side));
       nodes[n]->on_connect = [n](Peer::Conn& c) { c.hello("n" + std::to_string(n)); };
       nodes[n]->on_submit = [this, n](Peer::Conn& c, const wire::Submit& s) {
-        at_node[n] += s.kind == wire::Kind::write;
+        at_node[n] += s.kind == wire::IoKind::write;
         take(c, s);
       };
       list["nodes"].push_back({{"name", "n" + std::to_string(n)},
@@ -151,7 +151,7 @@
   }
   void start() {
     ASSERT_EQ(write_file(folder + "/head.json", settings_json().dump()), "");
-    daemon = std::make_unique<head::Daemon>(*io, settings::load_head(folder + "/head.json"));
+    daemon = std::make_unique<head::Daemon>(*io, settings::load_head_settings(folder + "/head.json"));
     port = daemon->port();
     beside = std::thread([this] {
       while (!stop) {
@@ -164,16 +164,19 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(60));
   }
   void take(Peer::Conn& c, const wire::Submit& s) {
-    seen.push_back(s.kind == wire::Kind::write ? "write" : s.kind == wire::Kind::read ? "read" : "discard");
+    seen.push_back(s.kind == wire::IoKind::write  ? "write"
+                   : s.kind == wire::IoKind::read ? "read"
+                                                  : "discard");
     if (instead && instead(c, s)) return;
     const std::pair key(s.extent.head, s.extent.serial);
-    if (s.kind == wire::Kind::write) data[key] = c.data;
+    if (s.kind == wire::IoKind::write) data[key] = c.data;
     std::string out;
-    if (s.kind == wire::Kind::read) out = data[key].substr(s.offset, s.length);
+    if (s.kind == wire::IoKind::read) out = data[key].substr(s.offset, s.length);
     std::vector<std::uint64_t> sums;
-    if (s.kind == wire::Kind::read) sums::blocks(s.extent, data[key], sums);
-    c.answer(s.id, s.no, out,
-             s.kind == wire::Kind::read && !data.count(key) ? wire::Outcome::missing : wire::Outcome::ended,
+    if (s.kind == wire::IoKind::read) sums::blocks(s.extent, data[key], sums);
+    c.answer(s.id, s.attempt, out,
+             s.kind == wire::IoKind::read && !data.count(key) ? wire::Outcome::not_found
+                                                              : wire::Outcome::completed,
              sums);
   }
   void TearDown() override {
@@ -331,7 +334,7 @@
   instead = [&](Peer::Conn& c, const wire::Submit& s) {
     // Answered only once the head has been told to drain.
     auto timer = std::make_shared<asio::steady_timer>(side, std::chrono::milliseconds(250));
-    timer->async_wait([&c, id = s.id, no = s.no, timer](std::error_code) { c.answer(id, no); });
+    timer->async_wait([&c, id = s.id, no = s.attempt, timer](std::error_code) { c.answer(id, no); });
     ++held;
     return true;
   };
@@ -355,8 +358,8 @@
   ASSERT_EQ(write_file(folder + "/worse.json", j.dump()), "");
   std::promise<std::pair<std::string, std::string>> said;
   asio::post(*io, [&] {
-    const std::string worse = daemon->reload(settings::load_head(folder + "/worse.json"));
-    said.set_value({worse, daemon->reload(settings::load_head(folder + "/next.json"))});
+    const std::string worse = daemon->reload(settings::load_head_settings(folder + "/worse.json"));
+    said.set_value({worse, daemon->reload(settings::load_head_settings(folder + "/next.json"))});
   });
   const auto [worse, next] = said.get_future().get();
   EXPECT_TRUE(has(worse, "'plans' changes only with a restart")) << worse;
@@ -371,7 +374,7 @@
   int bad = 0;  // so many of the coming reads
   int how = 0;
   instead = [&](Peer::Conn& c, const wire::Submit& s) {
-    if (s.kind != wire::Kind::read || bad == 0) return false;
+    if (s.kind != wire::IoKind::read || bad == 0) return false;
     --bad;
     std::string& whole = data[{s.extent.head, s.extent.serial}];
     std::vector<std::uint64_t> sums;
@@ -383,7 +386,7 @@
     if (how == 3) out[0] ^= 1, sums::blocks(s.extent, out, sums);  // damaged, with sums that fit it
     if (how == 4) sums::blocks({s.extent.head, s.extent.serial + 1}, whole, sums);  // another extent's
     if (how == 5) sums.clear();
-    c.answer(s.id, s.no, out, wire::Outcome::ended, sums);
+    c.answer(s.id, s.attempt, out, wire::Outcome::completed, sums);
     return true;
   };
   start();
@@ -422,13 +425,13 @@
   asio::post(side, [&] {
     // Every tenth extent of all; the nodes' sums stay what they were.
     instead = [&](Peer::Conn& c, const wire::Submit& s) {
-      if (s.kind != wire::Kind::read || s.extent.serial % 10 != 0) return false;
+      if (s.kind != wire::IoKind::read || s.extent.serial % 10 != 0) return false;
       const std::string& whole = data[{s.extent.head, s.extent.serial}];
       std::vector<std::uint64_t> sums;
       sums::blocks(s.extent, whole, sums);
       std::string out = whole.substr(s.offset, s.length);
       out[0] ^= 1;
-      c.answer(s.id, s.no, out, wire::Outcome::ended, sums);
+      c.answer(s.id, s.attempt, out, wire::Outcome::completed, sums);
       return true;
     };
     for (const auto& [key, text] : data) count += key.second % 10 == 0;
@@ -567,9 +570,9 @@
   ASSERT_EQ(write_file(folder + "/plan.held.json", "{\"number\": 1"), "");
   ASSERT_EQ(write_file(folder + "/head.json", settings_json().dump()), "");
   try {
-    head::Daemon never(*io, settings::load_head(folder + "/head.json"));
+    head::Daemon never(*io, settings::load_head_settings(folder + "/head.json"));
     FAIL() << "it started";
-  } catch (const settings::Bad& e) {
+  } catch (const settings::SettingsError& e) {
     EXPECT_TRUE(has(e.what(), "plan.held.json: not JSON")) << e.what();
   }
 }
