--- a/tests/list/follower_test.cpp
+++ b/tests/list/follower_test.cpp
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "base/base.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace yewmount::tests {
 namespace {
@@ -22,7 +22,7 @@
   };
   std::vector<One> all;
   std::set<int> held;  // indices that somebody still speaks of
-  void listed(ListKind kind, std::span<const NodeEntry> entries) override {
+  void on_membership(ListKind kind, std::span<const NodeEntry> entries) override {
     One one{kind, {}, {}, {}};
     for (const NodeEntry& e : entries) {
       one.entries.emplace_back(e.node, e.name);
@@ -35,14 +35,14 @@
 };
 
 // Speaks for a list service, frame by frame.
-struct Speaker : net::LinkOwner {
+struct Speaker : net::LinkHandler {
   std::vector<std::shared_ptr<net::Link>> links;
-  std::vector<wire::AskList> asks;
+  std::vector<wire::ListRequest> asks;
   net::Listener listener;
   explicit Speaker(asio::io_context& io)
       : listener(io, "127.0.0.1", 0, [this](asio::ip::tcp::socket s) {
           links.push_back(std::make_shared<net::Link>(std::move(s), *this));
-          wire::put(links.back()->out(), wire::Hello{wire::Role::list, "list", -1, 1});
+          wire::encode(links.back()->out(), wire::Hello{wire::Role::list, "list", -1, 1});
           links.back()->start();
           links.back()->flush();
         }) {}
@@ -50,14 +50,14 @@
     for (auto& l : links) l->close();
   }
   void on_frame(net::Link&, const wire::Frame& f) override {
-    if (f.type != wire::Type::ask_list) return;
-    wire::AskList ask;
-    wire::get(f, ask);
+    if (f.type != wire::FrameType::list_request) return;
+    wire::ListRequest ask;
+    wire::decode(f, ask);
     asks.push_back(ask);
   }
   void on_closed(net::Link&, const std::string&) override {}
   void say(const wire::List& list) {
-    wire::put(links.back()->out(), list);
+    wire::encode(links.back()->out(), list);
     links.back()->flush();
   }
 };
@@ -69,7 +69,7 @@
 
 struct Following : ::testing::Test {
   std::string file =
-      std::filesystem::temp_directory_path() / ("yewmount-list-" + std::to_string(fresh_number()));
+      std::filesystem::temp_directory_path() / ("yewmount-list-" + std::to_string(random_id()));
   asio::io_context io;
   Speaker speaker{io};
   Heard heard;
@@ -179,7 +179,7 @@
 TEST_F(Following, ADamagedFileIsOneLineAndNoGuess) {
   for (const char* text : {"", "{\"version\": 1, \"nodes\": [", "{\"version\": -1, \"nodes\": []}"}) {
     ASSERT_EQ(write_file(file, text), "");
-    EXPECT_THROW(follower->start(monotonic_now()), settings::Bad) << text;
+    EXPECT_THROW(follower->start(monotonic_now()), settings::SettingsError) << text;
   }
   EXPECT_TRUE(heard.all.empty());
 }
--- a/tests/plans/plan_test.cpp
+++ b/tests/plans/plan_test.cpp
@@ -8,7 +8,7 @@
 #include "base/base.h"
 #include "plans/problem.h"
 #include "plans/report.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace yewmount::tests {
 namespace {
@@ -19,7 +19,7 @@
 std::string why(const std::function<void()>& what) {
   try {
     what();
-  } catch (const settings::Bad& e) {
+  } catch (const settings::SettingsError& e) {
     return e.what();
   }
   return "";
@@ -72,7 +72,7 @@
 }
 
 struct Members : ::testing::Test {
-  std::string file = std::filesystem::temp_directory_path() / ("members-" + std::to_string(fresh_number()));
+  std::string file = std::filesystem::temp_directory_path() / ("members-" + std::to_string(random_id()));
   solver::Problem p = plans::read_problem(problem().dump(), "p");
   void TearDown() override { std::filesystem::remove(file); }
   std::string take(const json& nodes) {
--- a/tests/plans/random_test.cpp
+++ b/tests/plans/random_test.cpp
@@ -4,7 +4,7 @@
 
 #include "judge/plan.h"
 #include "plans/report.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 #include "solver/clash.h"
 #include "tests/solver/cases.h"
 
@@ -37,7 +37,7 @@
     solver::Problem p;
     try {
       p = problem_of(given);
-    } catch (const settings::Bad& e) {
+    } catch (const settings::SettingsError& e) {
       ++refused;
       const std::string why = e.what();
       ASSERT_TRUE(why.starts_with("case: ") && why.find('\n') == std::string::npos) << why;
@@ -61,9 +61,9 @@
   const std::string whole = small_case(3).dump();
   const std::string plan = plans::plan_text({7, {{"a", {"n1", "n2"}, 1.5, 2}, {"b", {"n1"}, 0, 0.001}}});
   for (std::size_t cut = 0; cut < whole.size(); ++cut)
-    ASSERT_THROW(plans::read_problem(whole.substr(0, cut), "p"), settings::Bad) << cut;
+    ASSERT_THROW(plans::read_problem(whole.substr(0, cut), "p"), settings::SettingsError) << cut;
   for (std::size_t cut = 0; cut + 2 < plan.size(); ++cut)
-    ASSERT_THROW(plans::read_plan(plan.substr(0, cut), "p"), settings::Bad) << cut;
+    ASSERT_THROW(plans::read_plan(plan.substr(0, cut), "p"), settings::SettingsError) << cut;
 }
 
 struct Life : ::testing::TestWithParam<unsigned> {};
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -1049,7 +1049,7 @@
            {without("rules"), "missing field 'rules'"},
            {without("classes"), "missing field 'classes'"},
            {whole.substr(0, whole.size() / 2), "not JSON"},
-           {"{\"name\":\"a\",\"name\":\"b\"}", "stands twice"},
+           {"{\"name\":\"a\",\"name\":\"b\"}", "duplicate key 'name'"},
            {std::string(whole).replace(whole.find("\"sockets\":256"), 13, "\"sockets\":0"), "sockets"},
            {std::string(whole).replace(whole.find("\"seed\":\"8c"), 10, "\"seed\":\"?c"), "seed"}}) {
     std::ofstream(p.file) << text;
--- a/tests/support/peer.h
+++ b/tests/support/peer.h
@@ -25,7 +25,7 @@
     std::string in;
     bool eof = false, reading = true;
     std::array<char, 65536> part;
-    wire::Inbox inbox;
+    wire::FrameDecoder inbox;
     std::deque<std::string> submits;  // whole frames' ids seen
     std::string_view data;            // of the submit that is being told
     std::vector<wire::Submit> seen;
@@ -36,16 +36,16 @@
     }
     void hello(const std::string& name, std::uint64_t start = 1) {
       std::string out;
-      wire::put(out, wire::Hello{wire::Role::node, name, 0, start});
+      wire::encode(out, wire::Hello{wire::Role::node, name, 0, start});
       send(out);
     }
-    void answer(std::uint64_t id, int no, std::string_view data = {}, wire::Outcome o = wire::Outcome::ended,
-                std::vector<std::uint64_t> sums = {}) {
+    void answer(std::uint64_t id, int no, std::string_view data = {},
+                wire::Outcome o = wire::Outcome::completed, std::vector<std::uint64_t> sums = {}) {
       std::string out;
       wire::Answer a;
-      a.id = id, a.no = no, a.outcome = o;
-      a.sums = std::move(sums);
-      wire::put(out, a, data);
+      a.id = id, a.attempt = no, a.outcome = o;
+      a.block_checksums = std::move(sums);
+      wire::encode(out, a, data);
       send(out);
     }
     void reset() {
@@ -77,14 +77,14 @@
         c->eof = true;
         return;
       }
-      const auto room = c->inbox.room(n);
+      const auto room = c->inbox.prepare(n);
       std::copy_n(c->part.data(), n, room.data());
-      c->inbox.came(n);
+      c->inbox.commit(n);
       wire::Frame f;
       while (c->socket.is_open() && c->inbox.next(f)) {
-        if (f.type != wire::Type::submit) continue;
+        if (f.type != wire::FrameType::submit) continue;
         wire::Submit s;
-        wire::get(f, s);
+        wire::decode(f, s);
         c->data = f.data;
         c->seen.push_back(s);
         if (on_submit) on_submit(*c, s);
