--- a/bench/head_bench.cpp
+++ b/bench/head_bench.cpp
@@ -129,7 +129,7 @@
 }
 
 // Sends reads directly to the node over two connections, as many as the head uses.
-struct DirectClient : net::LinkOwner {
+struct DirectClient : net::LinkHandler {
   asio::io_context& io;
   wire::Submit submit;
   int in_flight;
@@ -144,15 +144,15 @@
   void send(net::Link& link) {
     submit.id = ++last_id;
     sent_at[last_id] = monotonic_now();
-    wire::put(link.out(), submit, {});
+    wire::encode(link.out(), submit, {});
   }
   void on_frame(net::Link& link, const wire::Frame& frame) override {
-    if (frame.type == wire::Type::hello) {
+    if (frame.type == wire::FrameType::hello) {
       for (int i = link.number; i < in_flight; i += 2) send(link);
       return link.flush();
     }
     wire::Answer answer;
-    wire::get(frame, answer);
+    wire::decode(frame, answer);
     const auto it = sent_at.find(answer.id);
     result.latencies.push_back(monotonic_now() - it->second);
     sent_at.erase(it);
@@ -175,7 +175,7 @@
     socket.connect({asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port)});
     client.links.push_back(std::make_shared<net::Link>(std::move(socket), client));
     client.links.back()->number = i;
-    wire::put(client.links.back()->out(), wire::Hello{wire::Role::head, "direct", -1, 0});
+    wire::encode(client.links.back()->out(), wire::Hello{wire::Role::head, "direct", -1, 0});
     client.links.back()->start();
     client.links.back()->flush();
   }
@@ -252,21 +252,21 @@
     submit.volume = "v";
     submit.object = "object";
     submit.length = 1024;
-    submit.try_for = 5'000'000;
+    submit.timeout = 5'000'000;
     {
       asio::ip::tcp::socket s(io);
       s.connect({asio::ip::address_v4::loopback(), catalogue_ready.at("port").get<std::uint16_t>()});
       std::string out;
-      wire::put(out, wire::Look{1, "v", "object"});
+      wire::encode(out, wire::Lookup{1, "v", "object"});
       asio::write(s, asio::buffer(out));
-      wire::Inbox inbox;
+      wire::FrameDecoder inbox;
       wire::Frame frame{};
-      wire::Found found;
-      while (found.call == 0) {
-        const auto room = inbox.room(4096);
-        inbox.came(s.read_some(asio::buffer(room.data(), room.size())));
+      wire::LookupReply found;
+      while (found.call_id == 0) {
+        const auto room = inbox.prepare(4096);
+        inbox.commit(s.read_some(asio::buffer(room.data(), room.size())));
         while (inbox.next(frame))
-          if (frame.type == wire::Type::found) wire::get(frame, found);
+          if (frame.type == wire::FrameType::lookup_reply) wire::decode(frame, found);
       }
       submit.extent = found.object.extents.at(0).extent;
     }
--- a/src/catalogue/client.cpp
+++ b/src/catalogue/client.cpp
@@ -23,13 +23,13 @@
   if (is_connecting_ || link_) return;
   is_connecting_ = true;
   auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
-  const asio::ip::tcp::endpoint endpoint(net::loopback(options_.address), options_.port);
+  const asio::ip::tcp::endpoint endpoint(net::parse_loopback_address(options_.address), options_.port);
   socket->async_connect(endpoint, [this, socket, is_alive = is_alive_](std::error_code error) {
     if (!*is_alive) return;
     is_connecting_ = false;
     if (!error) {
       link_ = std::make_shared<net::Link>(std::move(*socket), *this);
-      wire::put(link_->out(), wire::Hello{wire::Role::head, options_.head_name, -1, 0});
+      wire::encode(link_->out(), wire::Hello{wire::Role::head, options_.head_name, -1, 0});
       link_->start();
       link_->flush();
       return;
@@ -68,7 +68,7 @@
   if (!is_ready_) return;
   link_->out() += call.frame;
   call.is_sent = true;
-  call.end_offset = link_->appended();
+  call.end_offset = link_->bytes_appended();
 }
 
 void Client::find(std::string_view volume, std::string_view name, std::int64_t deadline, Callback callback) {
@@ -78,7 +78,7 @@
   call.volume = volume;
   call.name = name;
   call.callback = std::move(callback);
-  wire::put(call.frame, wire::Look{call_id, volume, name});
+  wire::encode(call.frame, wire::Lookup{call_id, volume, name});
   send(call);
 }
 
@@ -88,11 +88,11 @@
   Call& call = calls_[call_id];
   call.deadline = deadline;
   call.callback = std::move(callback);
-  wire::put(call.frame, wire::Walk{call_id, after_volume, after_name, limit});
+  wire::encode(call.frame, wire::Scan{call_id, after_volume, after_name, limit});
   send(call);
 }
 
-void Client::change(wire::Alter change, std::int64_t deadline, Callback callback) {
+void Client::change(wire::ChangeRequest change, std::int64_t deadline, Callback callback) {
   const std::uint64_t call_id = ++last_call_id_;
   Call& call = calls_[call_id];
   call.is_change = true;
@@ -100,8 +100,8 @@
   call.volume = change.volume;
   call.name = change.name;
   call.callback = std::move(callback);
-  change.call = call_id;
-  wire::put(call.frame, change);
+  change.call_id = call_id;
+  wire::encode(call.frame, change);
   send(call);
 }
 
@@ -131,57 +131,57 @@
 void Client::on_frame(net::Link&, const wire::Frame& frame) {
   Result result;
   switch (frame.type) {
-    case wire::Type::hello: {
+    case wire::FrameType::hello: {
       wire::Hello hello;
-      wire::get(frame, hello);
-      if (hello.role != wire::Role::catalogue) throw wire::Malformed("no catalogue answers here");
+      wire::decode(frame, hello);
+      if (hello.role != wire::Role::catalogue) throw wire::MalformedFrame("no catalogue answers here");
       is_ready_ = true;
       // Lookups may be repeated; a change that was sent on an earlier connection is never sent again.
       for (auto& [call_id, call] : calls_)
         if (!call.is_sent) send(call);
       return;
     }
-    case wire::Type::found: {
-      wire::Found found;
-      wire::get(frame, found);
-      result.status = found.there ? Status::done : Status::absent;
+    case wire::FrameType::lookup_reply: {
+      wire::LookupReply found;
+      wire::decode(frame, found);
+      result.status = found.exists ? Status::done : Status::absent;
       result.current = std::move(found.object);
-      if (const auto it = calls_.find(found.call); it != calls_.end() && found.there)
+      if (const auto it = calls_.find(found.call_id); it != calls_.end() && found.exists)
         add_to_cache(it->second.volume, it->second.name, result.current);
-      return complete(found.call, std::move(result));
+      return complete(found.call_id, std::move(result));
     }
-    case wire::Type::walked: {
-      wire::Walked walked;
-      wire::get(frame, walked);
+    case wire::FrameType::scan_reply: {
+      wire::ScanReply walked;
+      wire::decode(frame, walked);
       result.status = Status::done;
-      result.at_end = walked.end;
+      result.at_end = walked.at_end;
       result.entries = std::move(walked.entries);
-      return complete(walked.call, std::move(result));
+      return complete(walked.call_id, std::move(result));
     }
-    case wire::Type::changed: {
-      wire::Altered altered;
-      wire::get(frame, altered);
+    case wire::FrameType::change_reply: {
+      wire::ChangeReply altered;
+      wire::decode(frame, altered);
       static constexpr Status kStatuses[] = {Status::done, Status::conflict, Status::absent,
                                              Status::unwritable};
-      result.status = kStatuses[static_cast<int>(altered.changed)];
-      result.current = std::move(altered.now);
-      result.previous = std::move(altered.before);
-      if (const auto it = calls_.find(altered.call); it != calls_.end()) {
+      result.status = kStatuses[static_cast<int>(altered.result)];
+      result.current = std::move(altered.current);
+      result.previous = std::move(altered.previous);
+      if (const auto it = calls_.find(altered.call_id); it != calls_.end()) {
         if (result.status == Status::done && result.current.stamp > 0)
           add_to_cache(it->second.volume, it->second.name, result.current);
         else if (!it->second.name.empty() && cached(it->second.volume, it->second.name, 0))
           cache_[cache_key_].expires_at = 0;
       }
-      return complete(altered.call, std::move(result));
+      return complete(altered.call_id, std::move(result));
     }
     default:
-      throw wire::Malformed("a head takes no frame of this type from a catalogue");
+      throw wire::MalformedFrame("a head takes no frame of this type from a catalogue");
   }
 }
 
 void Client::on_closed(net::Link& link, const std::string& reason) {
   logs::warn("catalogue lost", {{"why", reason}});
-  const std::uint64_t bytes_sent = link.handed();
+  const std::uint64_t bytes_sent = link.bytes_written();
   is_ready_ = false;
   link_.reset();
   std::vector<std::uint64_t> unanswered;
--- a/src/catalogue/client.h
+++ b/src/catalogue/client.h
@@ -26,7 +26,7 @@
   wire::Object current;
   wire::Object previous;
   bool at_end = false;  // of a scan: no objects remain after these
-  std::vector<wire::Walked::Entry> entries{};
+  std::vector<wire::ScanReply::Entry> entries{};
 };
 
 struct ClientOptions {
@@ -37,7 +37,7 @@
   std::size_t max_cached_objects = 0;
 };
 
-class Client : public net::LinkOwner {
+class Client : public net::LinkHandler {
  public:
   using Callback = std::function<void(Result&&)>;
   Client(asio::io_context& io, ClientOptions options);
@@ -50,7 +50,7 @@
   void find(std::string_view volume, std::string_view name, std::int64_t deadline, Callback callback);
   void scan(std::string_view after_volume, std::string_view after_name, int limit, std::int64_t deadline,
             Callback callback);
-  void change(wire::Alter change, std::int64_t deadline, Callback callback);
+  void change(wire::ChangeRequest change, std::int64_t deadline, Callback callback);
 
   // Ends the calls whose deadline has passed; to be called regularly.
   void expire(std::int64_t now);
--- a/src/catalogue/store.cpp
+++ b/src/catalogue/store.cpp
@@ -51,7 +51,7 @@
   const auto size = static_cast<std::uint32_t>(name.size());
   for (int i = 0; i < 4; ++i) out += static_cast<char>(size >> (8 * i));
   out += name;
-  out += wire::pack(object);
+  out += wire::encode_object(object);
   return out;
 }
 
@@ -66,7 +66,7 @@
   if (bytes.size() < 4 + size) throw std::runtime_error("catalogue: truncated object record");
   if (!name.empty() && bytes.substr(4, size) != name) return false;
   if (stored_name) *stored_name = bytes.substr(4, size);
-  object = wire::unpack(bytes.substr(4 + size));
+  object = wire::decode_object(bytes.substr(4 + size));
   return true;
 }
 
@@ -139,16 +139,16 @@
   return decode_record(to_view(v), name, object);
 }
 
-void Store::enqueue(const wire::Alter& change) {
-  pending_changes_.push_back({change.change, change.condition, change.stamp, std::string(change.volume),
+void Store::enqueue(const wire::ChangeRequest& change) {
+  pending_changes_.push_back({change.kind, change.condition, change.stamp, std::string(change.volume),
                               std::string(change.name), change.object});
 }
 
 ChangeResult Store::apply(Database& database, void* transaction_handle, PendingChange& change) {
   auto* txn = static_cast<MDB_txn*>(transaction_handle);
   ChangeResult result;
-  if (change.kind == wire::Change::freed) {
-    for (const wire::Placed& placed : change.object.extents) {
+  if (change.kind == wire::ChangeKind::extents_freed) {
+    for (const wire::PlacedExtent& placed : change.object.extents) {
       const std::string key = extent_key(placed.extent);
       MDB_val k = to_mdb_val(key);
       const int code = mdb_del(txn, database.freed, &k, nullptr);
@@ -163,19 +163,19 @@
   if (code != MDB_NOTFOUND) check("read", code);
   const bool exists = code == MDB_SUCCESS;
   if (exists && !decode_record(to_view(v), change.name, result.previous)) {
-    result.status = wire::Changed::conflict;
+    result.status = wire::ChangeStatus::conflict;
     return result;
   }
   const bool condition_holds =
       change.condition == wire::Condition::none || (change.condition == wire::Condition::absent && !exists) ||
       (change.condition == wire::Condition::present && exists) ||
       (change.condition == wire::Condition::stamp && exists && result.previous.stamp == change.stamp);
-  if (!condition_holds || (change.kind == wire::Change::drop && !exists)) {
-    result.status =
-        exists || change.kind == wire::Change::put ? wire::Changed::conflict : wire::Changed::absent;
+  if (!condition_holds || (change.kind == wire::ChangeKind::remove && !exists)) {
+    result.status = exists || change.kind == wire::ChangeKind::put ? wire::ChangeStatus::conflict
+                                                                   : wire::ChangeStatus::absent;
     return result;
   }
-  for (const wire::Placed& placed : result.previous.extents) {
+  for (const wire::PlacedExtent& placed : result.previous.extents) {
     const std::string extent = extent_key(placed.extent);
     std::string location;
     for (std::uint32_t half : {static_cast<std::uint32_t>(placed.shard), placed.length})
@@ -184,7 +184,7 @@
     MDB_val location_val = to_mdb_val(location);
     check("note freed", mdb_put(txn, database.freed, &extent_val, &location_val, 0));
   }
-  if (change.kind == wire::Change::drop) {
+  if (change.kind == wire::ChangeKind::remove) {
     check("drop", mdb_del(txn, database.objects, &k, nullptr));
     return result;
   }
@@ -221,14 +221,14 @@
     // The transaction was aborted (disk full, read-only or failing), so no change may be reported as done.
     error = e.what();
     ChangeResult unwritable;
-    unwritable.status = wire::Changed::unwritable;
+    unwritable.status = wire::ChangeStatus::unwritable;
     results.assign(changes.size(), unwritable);
   }
   return results;
 }
 
 bool Store::scan(std::string_view volume, std::string_view name, int limit,
-                 std::vector<wire::Walked::Entry>& entries) const {
+                 std::vector<wire::ScanReply::Entry>& entries) const {
   Transaction txn(database_->env, false);
   Cursor cursor(txn, database_->objects);
   const bool from_start = volume.empty() && name.empty();
@@ -241,7 +241,7 @@
     code = mdb_cursor_get(cursor.handle, &k, &v, MDB_NEXT);
   for (; code == MDB_SUCCESS; code = mdb_cursor_get(cursor.handle, &k, &v, MDB_NEXT)) {
     if (static_cast<int>(entries.size()) >= limit || extents >= kMaxExtentsPerPage) return false;
-    wire::Walked::Entry& entry = entries.emplace_back();
+    wire::ScanReply::Entry& entry = entries.emplace_back();
     const std::string_view key = to_view(k);
     entry.volume = key.substr(0, key.find('\0'));
     decode_record(to_view(v), {}, entry.object, &entry.name);
@@ -285,7 +285,8 @@
     wire::Object object;
     decode_record(to_view(v), {}, object);
     ++statistics.objects;
-    for (const wire::Placed& placed : object.extents) statistics.redirects += placed.shard != placed.home;
+    for (const wire::PlacedExtent& placed : object.extents)
+      statistics.redirects += placed.shard != placed.home_shard;
   }
   MDB_stat stat;
   check("stat", mdb_stat(txn, database_->freed, &stat));
--- a/src/catalogue/store.h
+++ b/src/catalogue/store.h
@@ -14,7 +14,7 @@
 
 // The result of one change. `current` is the object after a put, `previous` the one it replaced or dropped.
 struct ChangeResult {
-  wire::Changed status = wire::Changed::done;
+  wire::ChangeStatus status = wire::ChangeStatus::done;
   wire::Object current;
   wire::Object previous;
 };
@@ -33,7 +33,7 @@
 
   // Adds a change to the next commit. Changes of one commit apply in order, and after a crash either all or
   // none of them are present.
-  void enqueue(const wire::Alter& change);
+  void enqueue(const wire::ChangeRequest& change);
   std::size_t pending_count() const { return pending_changes_.size(); }
   // Writes all pending changes in one transaction and returns one result for each. If the transaction fails,
   // every result is `unwritable` and `error` holds the reason; otherwise `error` is empty.
@@ -42,7 +42,7 @@
   // Appends up to `limit` objects that follow the given one in key order; an empty volume and name start at
   // the first object. Returns true if no objects remain after these.
   bool scan(std::string_view volume, std::string_view name, int limit,
-            std::vector<wire::Walked::Entry>& entries) const;
+            std::vector<wire::ScanReply::Entry>& entries) const;
   // An extent that no object references but that a node still holds.
   struct FreedExtent {
     wire::ExtentId extent;
@@ -61,7 +61,7 @@
 
  private:
   struct PendingChange {
-    wire::Change kind;
+    wire::ChangeKind kind;
     wire::Condition condition;
     std::uint64_t stamp;
     std::string volume;
--- a/src/cli/plan.cpp
+++ b/src/cli/plan.cpp
@@ -6,7 +6,7 @@
 #include "judge/plan.h"
 #include "plans/problem.h"
 #include "plans/report.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 #include "solver/infeasibility.h"
 
 namespace yewmount::cli {
@@ -65,7 +65,7 @@
     try {
       best = judge::brute_force(plans::problem_json(problem), kMaxBruteForcePlacements);
     } catch (const std::exception& e) {
-      throw settings::Bad(e.what());
+      throw settings::SettingsError(e.what());
     }
     const auto& f = solution.objective;
     const bool is_same = solution.is_feasible ? best == judge::PlanFigures{f.level_step, f.cost_step,
@@ -84,11 +84,12 @@
     if (!solution.is_feasible) return report_infeasible(problem);
     const std::uint64_t next = number > 0 ? number : before.number + 1;
     if (next <= before.number)
-      throw settings::Bad("--number " + std::to_string(next) + ": the current plan is plan " +
-                          std::to_string(before.number) + " and heads accept only a later one");
+      throw settings::SettingsError("--number " + std::to_string(next) + ": the current plan is plan " +
+                                    std::to_string(before.number) + " and heads accept only a later one");
     const std::string text = plans::plan_json(problem, solution, next).dump(1) + "\n";
     if (!out.empty())
-      if (const std::string error = write_file(out, text); !error.empty()) throw settings::Bad(error);
+      if (const std::string error = write_file(out, text); !error.empty())
+        throw settings::SettingsError(error);
     if (json)
       std::cout << text;
     else
--- a/src/days/runner.cpp
+++ b/src/days/runner.cpp
@@ -13,7 +13,7 @@
 
 #include "base/base.h"
 #include "days/processes.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 #include "standins/support.h"
 
 namespace yewmount::days {
@@ -167,13 +167,14 @@
   static json load(const std::string& file) {
     const auto read = [](const std::string& path) {
       std::string text;
-      if (const std::string why = read_file(path, text); !why.empty()) throw settings::Bad(why);
+      if (const std::string why = read_file(path, text); !why.empty()) throw settings::SettingsError(why);
       return settings::parse(text, path);
     };
     json day = read(file);
     fs::path base_directory = fs::path(file).parent_path();
     for (int depth = 0; day.is_object() && day.contains("like") && day["like"].is_string(); ++depth) {
-      if (depth == 8) throw settings::Bad(file + ": /like: base files nested too deeply or in a cycle");
+      if (depth == 8)
+        throw settings::SettingsError(file + ": /like: base files nested too deeply or in a cycle");
       const fs::path path = base_directory / day["like"].get<std::string>();
       json base = read(path.string());
       day.erase("like");
@@ -189,20 +190,23 @@
     std::map<std::string, bool> names;
     for (const json& n : day_.at("nodes"))
       if (!names.emplace(n.at("name").get<std::string>(), true).second)
-        throw settings::Bad("node '" + n.at("name").get<std::string>() + "' is defined twice in the day");
+        throw settings::SettingsError("node '" + n.at("name").get<std::string>() +
+                                      "' is defined twice in the day");
     for (const json& s : day_.value("script", json::array())) {
       if (s.contains("node") && !names.count(s["node"].get<std::string>()))
-        throw settings::Bad("the script names an unknown node '" + s["node"].get<std::string>() + "'");
+        throw settings::SettingsError("the script names an unknown node '" + s["node"].get<std::string>() +
+                                      "'");
       if (s.contains("head") && s["head"].get<int>() >= day_.at("heads").get<int>())
-        throw settings::Bad("the script names an unknown head " + s["head"].dump());
+        throw settings::SettingsError("the script names an unknown head " + s["head"].dump());
     }
     for (const json& s : day_.value("script", json::array()))
       if ((s.at("do") == "replan" || s.at("do") == "plan_text") && !day_.contains("planning"))
-        throw settings::Bad("the script has plan steps but the day has no \"planning\"");
+        throw settings::SettingsError("the script has plan steps but the day has no \"planning\"");
     for (const json& v : day_.at("volumes"))
       for (const json& h : v.at("heads"))
         if (h.get<int>() >= day_.at("heads").get<int>())
-          throw settings::Bad("volume '" + v.at("name").get<std::string>() + "' names an unknown head");
+          throw settings::SettingsError("volume '" + v.at("name").get<std::string>() +
+                                        "' names an unknown head");
   }
 
   void start_catalogue() {
@@ -433,7 +437,7 @@
         schedule({{"do", "kill_node"}, {"node", node.name}}, for_ms);
         if (step.contains("successor")) schedule({{"do", "start_node"}, {"node", step["successor"]}}, for_ms);
       } else {
-        throw settings::Bad("unknown step '" + action + "' for a node");
+        throw settings::SettingsError("unknown step '" + action + "' for a node");
       }
     } else if (step.contains("head")) {
       ManagedHead& head = *heads_.at(step["head"].get<std::size_t>());
@@ -452,7 +456,7 @@
         head.process.signal(SIGCONT);
         write_event({{"ev", "head_went_on"}, {"head", head.name}});
       } else {
-        throw settings::Bad("unknown step '" + action + "' for a head");
+        throw settings::SettingsError("unknown step '" + action + "' for a head");
       }
     } else if (action == "list") {
       send_control_command(list_control_port_, step.at("command"));
@@ -472,7 +476,7 @@
       start_catalogue();
       write_event({{"ev", "catalogue_started"}});
     } else {
-      throw settings::Bad("unknown step '" + action + "'");
+      throw settings::SettingsError("unknown step '" + action + "'");
     }
     return follow_ups;
   }
--- a/src/plans/plan.cpp
+++ b/src/plans/plan.cpp
@@ -3,12 +3,12 @@
 #include <algorithm>
 
 #include "base/base.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace yewmount::plans {
 
 using nlohmann::json;
-using settings::Bad;
+using settings::SettingsError;
 
 Plan parse_plan(const std::string& text, const std::string& path) {
   const json document = settings::check(text, path, "plan");
@@ -19,7 +19,7 @@
     VolumeAssignment assignment{v.at("name"), v.at("nodes"), v.at("reserve"), v.at("weight")};
     std::sort(assignment.nodes.begin(), assignment.nodes.end());
     if (std::adjacent_find(assignment.nodes.begin(), assignment.nodes.end()) != assignment.nodes.end())
-      throw Bad(path + ": /volumes/" + std::to_string(i) + "/nodes: a node appears more than once");
+      throw SettingsError(path + ": /volumes/" + std::to_string(i) + "/nodes: a node appears more than once");
     plan.volumes.push_back(std::move(assignment));
     ++i;
   }
@@ -27,13 +27,13 @@
             [](const VolumeAssignment& x, const VolumeAssignment& y) { return x.name < y.name; });
   for (std::size_t at = 1; at < plan.volumes.size(); ++at)
     if (plan.volumes[at].name == plan.volumes[at - 1].name)
-      throw Bad(path + ": /volumes: '" + plan.volumes[at].name + "' appears more than once");
+      throw SettingsError(path + ": /volumes: '" + plan.volumes[at].name + "' appears more than once");
   return plan;
 }
 
 Plan load_plan(const std::string& path) {
   std::string text;
-  if (const std::string why = read_file(path, text); !why.empty()) throw Bad(why);
+  if (const std::string why = read_file(path, text); !why.empty()) throw SettingsError(why);
   return parse_plan(text, path);
 }
 
--- a/src/plans/problem.cpp
+++ b/src/plans/problem.cpp
@@ -7,13 +7,13 @@
 #include <set>
 
 #include "base/base.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace yewmount::plans {
 namespace {
 
 using nlohmann::json;
-using settings::Bad;
+using settings::SettingsError;
 using solver::Amount;
 using solver::FailureDomain;
 
@@ -22,7 +22,7 @@
   std::string path;
   std::string pointer;
   [[noreturn]] void fail(const std::string& reason) const {
-    throw Bad(path + ": " + pointer + ": " + reason);
+    throw SettingsError(path + ": " + pointer + ": " + reason);
   }
   Location operator/(const std::string& part) const { return {path, pointer + '/' + part}; }
 };
@@ -141,7 +141,7 @@
 
 solver::Problem load_problem(const std::string& path) {
   std::string text;
-  if (const std::string why = read_file(path, text); !why.empty()) throw Bad(why);
+  if (const std::string why = read_file(path, text); !why.empty()) throw SettingsError(why);
   return parse_problem(text, path);
 }
 
--- a/standins/node.cpp
+++ b/standins/node.cpp
@@ -5,7 +5,7 @@
 #include <filesystem>
 
 #include "checksums/checksums.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace yewmount::standins {
 namespace {
@@ -66,7 +66,7 @@
     : io_(io),
       options_(std::move(options)),
       record_(options_.record_file),
-      instance_id_(fresh_number()),
+      instance_id_(random_id()),
       started_at_(monotonic_now()),
       random_(options_.seed),
       control_(io, options_.control_port, [this](const json& command) { execute(command); }) {
@@ -78,7 +78,7 @@
         auto link = std::make_shared<net::Link>(std::move(socket), *this);
         link->number = ++last_connection_;
         clients_[link->number].link = link;
-        wire::put(link->out(), wire::Hello{wire::Role::node, options_.name, options_.shard, instance_id_});
+        wire::encode(link->out(), wire::Hello{wire::Role::node, options_.name, options_.shard, instance_id_});
         link->start();
       });
   record_.append(
@@ -124,51 +124,52 @@
 void Node::on_frame(net::Link& link, const wire::Frame& frame) {
   Client& client = clients_.at(link.number);
   switch (frame.type) {
-    case wire::Type::hello: {
+    case wire::FrameType::hello: {
       wire::Hello hello;
-      wire::get(frame, hello);
+      wire::decode(frame, hello);
       client.head = std::string(hello.name);
       record_.append(
           {{"ev", "hello"}, {"node", options_.name}, {"conn", link.number}, {"head", client.head}});
       return;
     }
-    case wire::Type::submit: {
+    case wire::FrameType::submit: {
       wire::Submit submit;
-      wire::get(frame, submit);
+      wire::decode(frame, submit);
       record_.append({{"ev", "submit"},
                       {"node", options_.name},
                       {"conn", link.number},
                       {"head", client.head},
                       {"id", hex(submit.id)},
-                      {"no", submit.no},
+                      {"no", submit.attempt},
                       {"kind", kKinds[static_cast<int>(submit.kind)]},
-                      {"repeat", kRepeats[static_cast<int>(submit.repeat)]},
+                      {"repeat", kRepeats[static_cast<int>(submit.idempotency)]},
                       {"group", submit.group},
                       {"volume", submit.volume},
                       {"object", submit.object},
                       {"units", submit.units}});
       return accept(link, submit, frame.data);
     }
-    case wire::Type::cancel: {
+    case wire::FrameType::cancel: {
       wire::Cancel cancel;
-      wire::get(frame, cancel);
+      wire::decode(frame, cancel);
       // Ignored, as by most storage nodes: running and queued jobs go on.
       record_.append({{"ev", "cancel"},
                       {"node", options_.name},
                       {"head", client.head},
                       {"id", hex(cancel.id)},
-                      {"no", cancel.no}});
+                      {"no", cancel.attempt}});
       return;
     }
-    case wire::Type::probe: {
+    case wire::FrameType::probe: {
       wire::Probe probe;
-      wire::get(frame, probe);
+      wire::decode(frame, probe);
       record_.append({{"ev", "probe"}, {"node", options_.name}, {"head", client.head}});
-      if (!is_hanging_) wire::put(link.out(), wire::Probed{probe.serial, wire::Outcome::ended, load()});
+      if (!is_hanging_)
+        wire::encode(link.out(), wire::ProbeReply{probe.serial, wire::Outcome::completed, load()});
       return;
     }
     default:
-      throw wire::Malformed("a node takes no frame of this type");
+      throw wire::MalformedFrame("a node takes no frame of this type");
   }
 }
 
@@ -183,7 +184,7 @@
   job.object = submit.object;
   job.data = data;
   job.received_at = now;
-  if (submit.kind == wire::Kind::write && happens(flip_incoming_)) flip_bit(job.data, "in", job);
+  if (submit.kind == wire::IoKind::write && happens(flip_incoming_)) flip_bit(job.data, "in", job);
   if (is_overloaded_by(now, submit.units)) {
     has_fallen_ = true;
     record_.append(
@@ -192,12 +193,12 @@
   }
   if (happens(fail_)) return answer(link.number, job, wire::Outcome::error, {});
   if (is_draining_ || static_cast<int>(queue_.size()) >= options_.max_queued)
-    return answer(link.number, job, wire::Outcome::turned_away, {});
+    return answer(link.number, job, wire::Outcome::rejected, {});
   // Verified before the job is queued, so that a write damaged in transit never runs.
-  if (submit.kind == wire::Kind::write && submit.sum != 0 &&
-      checksums::compute_extent(submit.extent, job.data) != submit.sum) {
+  if (submit.kind == wire::IoKind::write && submit.checksum != 0 &&
+      checksums::compute_extent(submit.extent, job.data) != submit.checksum) {
     record_.append({{"ev", "caught"}, {"node", options_.name}, {"head", job.head}, {"id", hex(submit.id)}});
-    return answer(link.number, job, wire::Outcome::damaged, {});
+    return answer(link.number, job, wire::Outcome::checksum_mismatch, {});
   }
   job.work = submit.units * options_.unit_us;
   if (options_.spread > 0)
@@ -205,14 +206,14 @@
         std::lognormal_distribution<>(-options_.spread * options_.spread / 2, options_.spread)(random_);
   if ((heavy_group_.empty() || heavy_group_ == job.group) && happens(heavy_probability_))
     job.work *= heavy_factor_;
-  if (submit.kind == wire::Kind::write && options_.deferred_fraction > 0) {
+  if (submit.kind == wire::IoKind::write && options_.deferred_fraction > 0) {
     deferred_work_ += job.work * options_.deferred_fraction;
     job.work *= 1 - options_.deferred_fraction;
   }
-  if (submit.kind == wire::Kind::discard) job.work /= 4;
+  if (submit.kind == wire::IoKind::discard) job.work /= 4;
   if (options_.max_recent_keys > 0) {
     const std::string key = job.volume + '/' + job.object;
-    if (submit.no == 0 && std::find(recent_keys_.begin(), recent_keys_.end(), key) != recent_keys_.end())
+    if (submit.attempt == 0 && std::find(recent_keys_.begin(), recent_keys_.end(), key) != recent_keys_.end())
       job.work *= 1 - options_.cache_hit_saving;
     recent_keys_.push_back(key);
     if (static_cast<int>(recent_keys_.size()) > options_.max_recent_keys) recent_keys_.pop_front();
@@ -262,33 +263,34 @@
                   {"where", where},
                   {"head", job.head},
                   {"id", hex(job.submit.id)},
-                  {"no", job.submit.no},
+                  {"no", job.submit.attempt},
                   {"volume", job.volume},
                   {"object", job.object}});
 }
 
 wire::Outcome Node::run(Job& job, std::string& read_data, std::vector<std::uint64_t>& checksums) {
   const wire::Submit& s = job.submit;
-  if (s.repeat == wire::Repeat::fingerprinted && s.fingerprint != 0 && s.kind != wire::Kind::read) {
+  if (s.idempotency == wire::Idempotency::fingerprinted && s.fingerprint != 0 &&
+      s.kind != wire::IoKind::read) {
     const std::int64_t now = monotonic_now();
     const auto [it, inserted] = fingerprints_.try_emplace(s.fingerprint, now);
     const bool is_repeated = !inserted && now - it->second < options_.fingerprint_lifetime_us;
     if (!is_repeated) it->second = now;
-    if (is_repeated) return wire::Outcome::ended;  // it has already run
+    if (is_repeated) return wire::Outcome::completed;  // it has already run
   }
-  if (s.kind != wire::Kind::read)
+  if (s.kind != wire::IoKind::read)
     record_.append({{"ev", "ran"},
                     {"node", options_.name},
                     {"head", job.head},
                     {"id", hex(s.id)},
-                    {"no", s.no},
+                    {"no", s.attempt},
                     {"kind", kKinds[static_cast<int>(s.kind)]},
-                    {"repeat", kRepeats[static_cast<int>(s.repeat)]},
+                    {"repeat", kRepeats[static_cast<int>(s.idempotency)]},
                     {"volume", job.volume},
                     {"object", job.object}});
   const std::pair key(s.extent.head, s.extent.serial);
   const bool uses_files = !options_.store_directory.empty();
-  if (s.kind == wire::Kind::write) {
+  if (s.kind == wire::IoKind::write) {
     checksums::compute_blocks(s.extent, job.data, checksums);
     if (happens(flip_at_rest_)) flip_bit(job.data, "rest", job);
     if (uses_files) {
@@ -298,24 +300,24 @@
       const bool is_written = write_file(file_of(s.extent) + ".sums", bytes).empty() &&
                               write_file(file_of(s.extent), job.data).empty();
       checksums.clear();
-      return is_written ? wire::Outcome::ended : wire::Outcome::error;
+      return is_written ? wire::Outcome::completed : wire::Outcome::error;
     }
     checksums_[key] = std::move(checksums);
     checksums.clear();
     extents_[key] = std::move(job.data);
-    return wire::Outcome::ended;
+    return wire::Outcome::completed;
   }
-  if (s.kind == wire::Kind::discard) {
+  if (s.kind == wire::IoKind::discard) {
     if (uses_files) std::filesystem::remove(file_of(s.extent) + ".sums");
     checksums_.erase(key);
     if (uses_files)
-      return std::filesystem::remove(file_of(s.extent)) ? wire::Outcome::ended : wire::Outcome::missing;
-    return extents_.erase(key) > 0 ? wire::Outcome::ended : wire::Outcome::missing;
+      return std::filesystem::remove(file_of(s.extent)) ? wire::Outcome::completed : wire::Outcome::not_found;
+    return extents_.erase(key) > 0 ? wire::Outcome::completed : wire::Outcome::not_found;
   }
   std::string from_disk;
   std::string_view all;
   if (uses_files) {
-    if (!read_file(file_of(s.extent), from_disk).empty()) return wire::Outcome::missing;
+    if (!read_file(file_of(s.extent), from_disk).empty()) return wire::Outcome::not_found;
     std::string bytes;
     if (read_file(file_of(s.extent) + ".sums", bytes).empty()) {
       checksums.resize(bytes.size() / sizeof checksums[0]);
@@ -325,13 +327,13 @@
     all = from_disk;
   } else {
     const auto it = extents_.find(key);
-    if (it == extents_.end()) return wire::Outcome::missing;
+    if (it == extents_.end()) return wire::Outcome::not_found;
     all = it->second;
     checksums = checksums_[key];
   }
   if (s.offset > all.size() || s.length > all.size() - s.offset) return wire::Outcome::error;
   read_data.assign(all.substr(s.offset, s.length));
-  return wire::Outcome::ended;
+  return wire::Outcome::completed;
 }
 
 void Node::finish(int job_id) {
@@ -355,7 +357,7 @@
                     {"node", options_.name},
                     {"head", job.head},
                     {"id", hex(job.submit.id)},
-                    {"no", job.submit.no}});
+                    {"no", job.submit.attempt}});
     return;
   }
   if (happens(cut_connection_)) {
@@ -386,10 +388,10 @@
   }
   wire::Answer reply;
   reply.id = job.submit.id;
-  reply.no = job.submit.no;
+  reply.attempt = job.submit.attempt;
   reply.outcome = outcome;
   reply.load = reported_load_;
-  reply.sums = std::move(checksums);
+  reply.block_checksums = std::move(checksums);
   if (options_.reports_other_heads) {
     Meter& meter = meters_[job.volume];
     auto& [own_units, reported_units] = meter.heads[job.head];
@@ -397,13 +399,13 @@
         static_cast<int>(std::min<std::int64_t>(meter.total - own_units - reported_units, 1'000'000));
     reported_units = meter.total - own_units;
   }
-  wire::put(it->second.link->out(), reply, data);
+  wire::encode(it->second.link->out(), reply, data);
   record_.append({{"ev", "answer"},
                   {"node", options_.name},
                   {"conn", connection},
                   {"head", job.head},
                   {"id", hex(job.submit.id)},
-                  {"no", job.submit.no},
+                  {"no", job.submit.attempt},
                   {"outcome", kOutcomes[static_cast<int>(outcome)]}});
 }
 
@@ -436,7 +438,7 @@
       out += std::string("YM\x02\x03\x00\x00\x00\x10\x80\x00\x00\x00", 12);
     } else if (kind == "half") {
       std::string frame;
-      wire::put(frame, wire::Answer{}, "half of it");
+      wire::encode(frame, wire::Answer{}, "half of it");
       out += frame.substr(0, frame.size() / 2);
       c.link->close_after_flush();
     } else {
--- a/standins/node.h
+++ b/standins/node.h
@@ -51,7 +51,7 @@
 // Reads and checks a settings file; throws settings::Bad with a one-line message.
 NodeOptions load_node_options(const std::string& path);
 
-class Node : public net::LinkOwner {
+class Node : public net::LinkHandler {
  public:
   Node(asio::io_context& io, NodeOptions options);
   ~Node() override;
--- a/standins/node_main.cpp
+++ b/standins/node_main.cpp
@@ -15,7 +15,7 @@
     asio::io_context io(1);
     std::signal(SIGPIPE, SIG_IGN);
     standins::NodeOptions options = standins::load_node_options(settings_file);
-    logs::start("yewmount-node", options.name);
+    logs::init("yewmount-node", options.name);
     const std::string name = options.name;
     standins::Node node(io, std::move(options));
     standins::run_event_loop(io, node,
--- a/tests/catalogue/store_test.cpp
+++ b/tests/catalogue/store_test.cpp
@@ -18,19 +18,19 @@
 namespace {
 
 using namespace catalogue;
-using wire::Change;
-using wire::Changed;
+using wire::ChangeKind;
+using wire::ChangeStatus;
 using wire::Condition;
 
 struct TemporaryDirectory {
   std::string path =
-      std::filesystem::temp_directory_path() / ("yewmount-test-" + std::to_string(fresh_number()));
+      std::filesystem::temp_directory_path() / ("yewmount-test-" + std::to_string(random_id()));
   ~TemporaryDirectory() { std::filesystem::remove_all(path); }
 };
 
-wire::Alter put_change(std::string_view name, std::uint64_t serial, Condition condition = Condition::none,
-                       std::uint64_t stamp = 0) {
-  wire::Alter change;
+wire::ChangeRequest put_change(std::string_view name, std::uint64_t serial,
+                               Condition condition = Condition::none, std::uint64_t stamp = 0) {
+  wire::ChangeRequest change;
   change.volume = "v";
   change.name = name;
   change.condition = condition;
@@ -41,7 +41,7 @@
 }
 
 // Commits one change and returns its result.
-ChangeResult commit_one(Store& store, const wire::Alter& change) {
+ChangeResult commit_one(Store& store, const wire::ChangeRequest& change) {
   store.enqueue(change);
   std::string error;
   const auto results = store.commit(error);
@@ -57,21 +57,22 @@
   store.enqueue(put_change("b", 3, Condition::present));
   std::string error;
   const auto all = store.commit(error);
-  EXPECT_EQ(all[0].status, Changed::done);
-  EXPECT_EQ(all[1].status, Changed::conflict) << "of two concurrent creates of one name the second must fail";
-  EXPECT_EQ(all[2].status, Changed::conflict);
+  EXPECT_EQ(all[0].status, ChangeStatus::done);
+  EXPECT_EQ(all[1].status, ChangeStatus::conflict)
+      << "of two concurrent creates of one name the second must fail";
+  EXPECT_EQ(all[2].status, ChangeStatus::conflict);
   const ChangeResult next = commit_one(store, put_change("a", 4, Condition::stamp, all[0].current.stamp));
-  EXPECT_EQ(next.status, Changed::done);
+  EXPECT_EQ(next.status, ChangeStatus::done);
   EXPECT_GT(next.current.stamp, all[0].current.stamp);
   EXPECT_EQ(next.previous.extents.at(0).extent.serial, 1u);
   EXPECT_EQ(commit_one(store, put_change("a", 5, Condition::stamp, all[0].current.stamp)).status,
-            Changed::conflict);
-  wire::Alter drop;
-  drop.change = Change::drop;
+            ChangeStatus::conflict);
+  wire::ChangeRequest drop;
+  drop.kind = ChangeKind::remove;
   drop.volume = "v";
   drop.name = "a";
-  EXPECT_EQ(commit_one(store, drop).status, Changed::done);
-  EXPECT_EQ(commit_one(store, drop).status, Changed::absent);
+  EXPECT_EQ(commit_one(store, drop).status, ChangeStatus::done);
+  EXPECT_EQ(commit_one(store, drop).status, ChangeStatus::absent);
   wire::Object object;
   EXPECT_FALSE(store.find("v", "a", object));
 }
@@ -85,8 +86,8 @@
   ASSERT_EQ(freed.size(), 1u);
   EXPECT_EQ(freed[0].extent.serial, 1u);
   EXPECT_EQ(freed[0].shard, 2);
-  wire::Alter confirm_freed;
-  confirm_freed.change = Change::freed;
+  wire::ChangeRequest confirm_freed;
+  confirm_freed.kind = ChangeKind::extents_freed;
   confirm_freed.object.extents = second.previous.extents;
   commit_one(store, confirm_freed);
   EXPECT_TRUE(store.freed_extents(10).empty());
@@ -109,7 +110,7 @@
     std::set<std::string> seen;
     std::string volume, name;
     for (bool at_end = false; !at_end;) {
-      std::vector<wire::Walked::Entry> page;
+      std::vector<wire::ScanReply::Entry> page;
       at_end = store.scan(volume, name, limit, page);
       ASSERT_TRUE(at_end || static_cast<int>(page.size()) == limit);
       for (const auto& entry : page) {
@@ -122,11 +123,11 @@
     }
     EXPECT_EQ(seen, names) << limit;
   }
-  std::vector<wire::Walked::Entry> first;
-  std::vector<wire::Walked::Entry> rest;
+  std::vector<wire::ScanReply::Entry> first;
+  std::vector<wire::ScanReply::Entry> rest;
   store.scan("", "", 5, first);
-  wire::Alter drop = put_change(first.back().name, 0);
-  drop.change = wire::Change::drop;
+  wire::ChangeRequest drop = put_change(first.back().name, 0);
+  drop.kind = wire::ChangeKind::remove;
   commit_one(store, drop);
   EXPECT_TRUE(store.scan("v", first.back().name, 100, rest));
   EXPECT_EQ(rest.size(), names.size() - 5);
@@ -139,21 +140,21 @@
   Store store(directory.path, 64 << 20);
   std::string error;
   for (int i = 0; i < 12; ++i) {
-    wire::Alter change = put_change("big" + std::to_string(i), 1);
+    wire::ChangeRequest change = put_change("big" + std::to_string(i), 1);
     change.object.extents.clear();
     for (std::uint64_t e = 0; e < 4095; ++e)
       change.object.extents.push_back({{~0ull, ~0ull - e}, 8 << 20, 100000, 100000, ~0ull});
     store.enqueue(change);
-    ASSERT_EQ(store.commit(error).at(0).status, Changed::done) << error;
+    ASSERT_EQ(store.commit(error).at(0).status, ChangeStatus::done) << error;
   }
   std::size_t seen = 0;
   std::string volume, name;
   for (bool at_end = false; !at_end;) {
-    wire::Walked page;
-    at_end = page.end = store.scan(volume, name, 200, page.entries);
+    wire::ScanReply page;
+    at_end = page.at_end = store.scan(volume, name, 200, page.entries);
     std::string frame;
-    wire::put(frame, page);
-    ASSERT_LE(frame.size(), wire::kMetaBytes);
+    wire::encode(frame, page);
+    ASSERT_LE(frame.size(), wire::kMaxMetaBytes);
     seen += page.entries.size();
     volume = page.entries.back().volume;
     name = page.entries.back().name;
@@ -187,7 +188,7 @@
     if (error.empty())
       ++done_count;
     else
-      EXPECT_EQ(all.at(0).status, Changed::unwritable);
+      EXPECT_EQ(all.at(0).status, ChangeStatus::unwritable);
   }
   ASSERT_NE(error, "");
   EXPECT_GT(done_count, 100);
@@ -282,8 +283,8 @@
   const std::int64_t now = monotonic_now();
   ASSERT_NE(client.cached("v", "a", now), nullptr);
   EXPECT_EQ(client.cached("v", "a", now + 2'000'000), nullptr);
-  wire::Alter drop;
-  drop.change = Change::drop;
+  wire::ChangeRequest drop;
+  drop.kind = ChangeKind::remove;
   drop.volume = "v";
   drop.name = "a";
   client.change(drop, monotonic_now() + 1'000'000, collect());
--- a/tests/plans/plan_test.cpp
+++ b/tests/plans/plan_test.cpp
@@ -8,7 +8,7 @@
 #include "base/base.h"
 #include "plans/problem.h"
 #include "plans/report.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 
 namespace yewmount::tests {
 namespace {
@@ -19,7 +19,7 @@
 std::string error_of(const std::function<void()>& function) {
   try {
     function();
-  } catch (const settings::Bad& e) {
+  } catch (const settings::SettingsError& e) {
     return e.what();
   }
   return "";
@@ -78,7 +78,7 @@
 }
 
 struct Membership : ::testing::Test {
-  std::string file = std::filesystem::temp_directory_path() / ("members-" + std::to_string(fresh_number()));
+  std::string file = std::filesystem::temp_directory_path() / ("members-" + std::to_string(random_id()));
   solver::Problem p = plans::parse_problem(problem().dump(), "p");
   void TearDown() override { std::filesystem::remove(file); }
   std::string apply(const json& nodes) {
--- a/tests/plans/random_test.cpp
+++ b/tests/plans/random_test.cpp
@@ -4,7 +4,7 @@
 
 #include "judge/plan.h"
 #include "plans/report.h"
-#include "settings/checked.h"
+#include "settings/json_schema.h"
 #include "solver/infeasibility.h"
 #include "tests/solver/cases.h"
 
@@ -39,7 +39,7 @@
     solver::Problem p;
     try {
       p = problem_of(given);
-    } catch (const settings::Bad& e) {
+    } catch (const settings::SettingsError& e) {
       ++rejected;
       const std::string why = e.what();
       ASSERT_TRUE(why.starts_with("case: ") && why.find('\n') == std::string::npos) << why;
@@ -63,9 +63,9 @@
   const std::string whole = small_case(3).dump();
   const std::string plan = plans::serialize_plan({7, {{"a", {"n1", "n2"}, 1.5, 2}, {"b", {"n1"}, 0, 0.001}}});
   for (std::size_t cut = 0; cut < whole.size(); ++cut)
-    ASSERT_THROW(plans::parse_problem(whole.substr(0, cut), "p"), settings::Bad) << cut;
+    ASSERT_THROW(plans::parse_problem(whole.substr(0, cut), "p"), settings::SettingsError) << cut;
   for (std::size_t cut = 0; cut + 2 < plan.size(); ++cut)
-    ASSERT_THROW(plans::parse_plan(plan.substr(0, cut), "p"), settings::Bad) << cut;
+    ASSERT_THROW(plans::parse_plan(plan.substr(0, cut), "p"), settings::SettingsError) << cut;
 }
 
 struct Replanning : ::testing::TestWithParam<unsigned> {};
--- a/tests/support/peer.h
+++ b/tests/support/peer.h
@@ -26,7 +26,7 @@
     bool eof = false;
     bool reading = true;
     std::array<char, 65536> buffer;
-    wire::Inbox inbox;
+    wire::FrameDecoder inbox;
     std::deque<std::string> submits;  // ids of the complete frames received
     std::string_view data;            // payload of the submit passed to on_submit
     std::vector<wire::Submit> seen;
@@ -37,18 +37,18 @@
     }
     void hello(const std::string& name, std::uint64_t start = 1) {
       std::string out;
-      wire::put(out, wire::Hello{wire::Role::node, name, 0, start});
+      wire::encode(out, wire::Hello{wire::Role::node, name, 0, start});
       send(out);
     }
-    void answer(std::uint64_t id, int no, std::string_view data = {}, wire::Outcome o = wire::Outcome::ended,
-                std::vector<std::uint64_t> sums = {}) {
+    void answer(std::uint64_t id, int no, std::string_view data = {},
+                wire::Outcome o = wire::Outcome::completed, std::vector<std::uint64_t> sums = {}) {
       std::string out;
       wire::Answer a;
       a.id = id;
-      a.no = no;
+      a.attempt = no;
       a.outcome = o;
-      a.sums = std::move(sums);
-      wire::put(out, a, data);
+      a.block_checksums = std::move(sums);
+      wire::encode(out, a, data);
       send(out);
     }
     void reset() {
@@ -80,14 +80,14 @@
         c->eof = true;
         return;
       }
-      const auto room = c->inbox.room(n);
+      const auto room = c->inbox.prepare(n);
       std::copy_n(c->buffer.data(), n, room.data());
-      c->inbox.came(n);
+      c->inbox.commit(n);
       wire::Frame f;
       while (c->socket.is_open() && c->inbox.next(f)) {
-        if (f.type != wire::Type::submit) continue;
+        if (f.type != wire::FrameType::submit) continue;
         wire::Submit s;
-        wire::get(f, s);
+        wire::decode(f, s);
         c->data = f.data;
         c->seen.push_back(s);
         if (on_submit) on_submit(*c, s);
