--- a/src/plans/plan.cpp
+++ b/src/plans/plan.cpp
@@ -33,7 +33,7 @@
 
 Plan load_plan(const std::string& path) {
   std::string text;
-  if (const std::string why = read_file(path, text); !why.empty()) throw Bad(why);
+  if (const std::string error = read_file(path, text); !error.empty()) throw Bad(error);
   return parse_plan(text, path);
 }
 
--- a/src/plans/problem.cpp
+++ b/src/plans/problem.cpp
@@ -56,8 +56,8 @@
   std::vector<std::string> names;
   std::set<std::string> seen;
   int i = 0;
-  for (const json& one : list) {
-    const std::string name = are_objects ? one.at("name") : one;
+  for (const json& entry : list) {
+    const std::string name = are_objects ? entry.at("name") : entry;
     if (!seen.insert(name).second)
       (are_objects ? location / std::to_string(i) / "name" : location / std::to_string(i))
           .fail("'" + name + "' appears more than once");
@@ -141,7 +141,7 @@
 
 solver::Problem load_problem(const std::string& path) {
   std::string text;
-  if (const std::string why = read_file(path, text); !why.empty()) throw Bad(why);
+  if (const std::string error = read_file(path, text); !error.empty()) throw Bad(error);
   return parse_problem(text, path);
 }
 
@@ -214,19 +214,19 @@
                             {"capacity", in_units(n.capacity)},
                             {"cost", n.cost}});
   for (const auto& v : problem.volumes) {
-    json one = {{"name", v.name},
-                {"demand", in_units(v.demand)},
-                {"reserve", in_units(v.reserve)},
-                {"nodes", v.node_count},
-                {"weight", in_units(v.weight)},
-                {"zones", v.min_zones},
-                {"keep", failure_domain_name(v.tolerated_failure)},
-                {"move_cost", v.move_cost}};
+    json entry = {{"name", v.name},
+                  {"demand", in_units(v.demand)},
+                  {"reserve", in_units(v.reserve)},
+                  {"nodes", v.node_count},
+                  {"weight", in_units(v.weight)},
+                  {"zones", v.min_zones},
+                  {"keep", failure_domain_name(v.tolerated_failure)},
+                  {"move_cost", v.move_cost}};
     if (v.is_placed) {
-      one["present"] = json::array();
-      for (int n : v.current_nodes) one["present"].push_back(problem.nodes[n].name);
+      entry["present"] = json::array();
+      for (int n : v.current_nodes) entry["present"].push_back(problem.nodes[n].name);
     }
-    all["volumes"].push_back(one);
+    all["volumes"].push_back(entry);
   }
   for (const auto& set : problem.anti_affinity) {
     json names = json::array();
--- a/src/plans/report.cpp
+++ b/src/plans/report.cpp
@@ -79,14 +79,14 @@
          {"share", in_units(solution.shares[v])}});
   const auto usage = node_usage(problem, solution);
   for (int n = 0; n < static_cast<int>(problem.nodes.size()); ++n) {
-    ordered_json one = {{"name", problem.nodes[n].name},
-                        {"zone", problem.zones[problem.nodes[n].zone]},
-                        {"capacity", in_units(problem.nodes[n].capacity)},
-                        {"reserve", in_units(usage[n].reserve)},
-                        {"load", in_units(usage[n].load)},
-                        {"reserve_at_worst", in_units(usage[n].worst)}};
-    if (usage[n].loss >= 0) one["worst"] = loss_name(problem, usage[n].loss);
-    all["nodes"].push_back(one);
+    ordered_json entry = {{"name", problem.nodes[n].name},
+                          {"zone", problem.zones[problem.nodes[n].zone]},
+                          {"capacity", in_units(problem.nodes[n].capacity)},
+                          {"reserve", in_units(usage[n].reserve)},
+                          {"load", in_units(usage[n].load)},
+                          {"reserve_at_worst", in_units(usage[n].worst)}};
+    if (usage[n].loss >= 0) entry["worst"] = loss_name(problem, usage[n].loss);
+    all["nodes"].push_back(entry);
   }
   all["figures"] = {
       {"level", in_units(solution.level)},           {"level_bound", in_units(solution.level_bound)},
@@ -138,14 +138,15 @@
     const bool is_full_now = static_cast<double>(usage[n].load) > kFullUtilization * capacity;
     const bool is_full_at_worst = static_cast<double>(usage[n].worst) > kFullUtilization * capacity;
     if (!is_full_now && !is_full_at_worst) continue;
-    std::vector<std::string> on;
+    std::vector<std::string> volumes_on_node;
     for (int v = 0; v < static_cast<int>(problem.volumes.size()); ++v)
-      if (solution.placement[v].contains(n)) on.push_back(problem.volumes[v].name);
-    const std::size_t more = on.size() > kMaxListedVolumes ? on.size() - kMaxListedVolumes : 0;
-    if (more > 0) on.resize(kMaxListedVolumes);
+      if (solution.placement[v].contains(n)) volumes_on_node.push_back(problem.volumes[v].name);
+    const std::size_t omitted =
+        volumes_on_node.size() > kMaxListedVolumes ? volumes_on_node.size() - kMaxListedVolumes : 0;
+    if (omitted > 0) volumes_on_node.resize(kMaxListedVolumes);
     text += "node " + problem.nodes[n].name + " is full" +
             (is_full_now ? " now" : " when " + loss_name(problem, usage[n].loss) + " is lost") + " with " +
-            join(on) + (more > 0 ? " and " + std::to_string(more) + " more" : "") + "\n";
+            join(volumes_on_node) + (omitted > 0 ? " and " + std::to_string(omitted) + " more" : "") + "\n";
   }
   if (text.empty()) text = "no node is full: every demand is met\n";
   return text;
@@ -155,7 +156,7 @@
   static const char* const kinds[] = {"reserve", "keep", "zones", "spread", "apart"};
   ordered_json all = {{"met", e.is_feasible}, {"proven", e.is_proven}, {"clashes", ordered_json::array()}};
   for (const auto& subset : e.subsets) {
-    ordered_json one = {{"says", subset.text}, {"none_can_be_left_out", subset.is_minimal}};
+    ordered_json entry = {{"says", subset.text}, {"none_can_be_left_out", subset.is_minimal}};
     for (const auto& c : subset.constraints) {
       ordered_json member = {{"kind", kinds[static_cast<int>(c.kind)]}};
       if (c.kind == solver::ConstraintKind::anti_affinity) {
@@ -163,10 +164,10 @@
       } else {
         member["volume"] = problem.volumes[c.index].name;
       }
-      one["set"].push_back(member);
+      entry["set"].push_back(member);
     }
-    for (const auto& r : subset.relaxations) one["least"].push_back(r.text);
-    all["clashes"].push_back(one);
+    for (const auto& r : subset.relaxations) entry["least"].push_back(r.text);
+    all["clashes"].push_back(entry);
   }
   if (e.subsets.size() > 1) all["first_of_each_together_do"] = e.first_relaxations_suffice;
   return all;
@@ -206,7 +207,7 @@
       ++d.added_volumes;
       continue;
     }
-    ordered_json one = {{"volume", x->name}};
+    ordered_json entry = {{"volume", x->name}};
     std::vector<std::string> removed;
     std::vector<std::string> added;
     std::set_difference(x->nodes.begin(), x->nodes.end(), y->nodes.begin(), y->nodes.end(),
@@ -214,20 +215,20 @@
     std::set_difference(y->nodes.begin(), y->nodes.end(), x->nodes.begin(), x->nodes.end(),
                         std::back_inserter(added));
     if (!removed.empty() || !added.empty()) {
-      one["leaves"] = removed;
-      one["comes_to"] = added;
+      entry["leaves"] = removed;
+      entry["comes_to"] = added;
       ++d.moved_volumes;
       d.added_nodes += static_cast<int>(added.size());
     }
     if (x->reserve != y->reserve) {
-      one["reserve"] = {x->reserve, y->reserve};
+      entry["reserve"] = {x->reserve, y->reserve};
       ++d.changed_reserves;
     }
     if (x->weight != y->weight) {
-      one["weight"] = {x->weight, y->weight};
+      entry["weight"] = {x->weight, y->weight};
       ++d.changed_weights;
     }
-    if (one.size() > 1) d.changes.push_back(one);
+    if (entry.size() > 1) d.changes.push_back(entry);
     ++x;
     ++y;
   }
--- a/src/solver/exact.cpp
+++ b/src/solver/exact.cpp
@@ -136,10 +136,10 @@
         terms[n].reserve.emplace_back(column, part);
       }
       if (volume.tolerated_failure == FailureDomain::none || volume.reserve == 0 || nodes.count < 2) return;
-      const Amount more = extra_load_per_survivor(volume.reserve, nodes.count, 1);
+      const Amount extra_load = extra_load_per_survivor(volume.reserve, nodes.count, 1);
       for (int n : nodes)
         for (int lost : nodes)
-          if (lost != n) terms[n].extra[lost].emplace_back(column, more);
+          if (lost != n) terms[n].extra[lost].emplace_back(column, extra_load);
       if (volume.tolerated_failure != FailureDomain::zone) return;
       for (int n : nodes)
         for (int i = 0; i < nodes.count; ++i) {
@@ -167,9 +167,9 @@
         }
         std::vector<std::pair<int, Amount>> sum = terms[n].reserve;
         std::size_t i = 0;
-        for (const auto& [column, more] : terms[n].extra[loss]) {
+        for (const auto& [column, extra_load] : terms[n].extra[loss]) {
           while (sum[i].first != column) ++i;  // both are sorted by column
-          sum[i].second += more;
+          sum[i].second += extra_load;
         }
         add_capacity(sum, capacity - fixed_loads.reserve(n) - fixed_loads.extra(n, loss), n);
       }
--- a/src/solver/model.cpp
+++ b/src/solver/model.cpp
@@ -149,10 +149,10 @@
     normal_[n] += total;
   }
   if (volume.tolerated_failure == FailureDomain::none || volume.reserve == 0 || nodes.count < 2) return;
-  const Amount more = sign * extra_load_per_survivor(volume.reserve, nodes.count, 1);
+  const Amount extra_load = sign * extra_load_per_survivor(volume.reserve, nodes.count, 1);
   for (int n : nodes)
     for (int lost : nodes)
-      if (lost != n) extra_[index(n, lost)] += more;
+      if (lost != n) extra_[index(n, lost)] += extra_load;
   if (volume.tolerated_failure != FailureDomain::zone) return;
   for (int i = 0; i < nodes.count; ++i) {
     const int zone = problem_->nodes[nodes.ids[i]].zone;
--- a/src/solver/solve.cpp
+++ b/src/solver/solve.cpp
@@ -232,19 +232,19 @@
   // Applies one or two moves together and reverts them unless they are valid and
   // `better(excess before, excess after, objective before)` returns true.
   template <class Better>
-  bool try_move(const Move& one, const Move& two, Better better) {
-    NodeSet touched = one.v >= 0 ? placement_[one.v] : NodeSet{};
+  bool try_move(const Move& first, const Move& second, Better better) {
+    NodeSet touched = first.v >= 0 ? placement_[first.v] : NodeSet{};
     std::vector<int> nodes(touched.begin(), touched.end());
-    const auto add_touched = [&](const NodeSet& more) {
-      for (int n : more)
+    const auto add_touched = [&](const NodeSet& other_nodes) {
+      for (int n : other_nodes)
         if (std::find(nodes.begin(), nodes.end(), n) == nodes.end()) nodes.push_back(n);
     };
-    add_touched(one.to);
-    const NodeSet old_one = placement_[one.v];
-    const NodeSet old_two = two.v >= 0 ? placement_[two.v] : NodeSet{};
-    if (two.v >= 0) {
-      add_touched(old_two);
-      add_touched(two.to);
+    add_touched(first.to);
+    const NodeSet old_first = placement_[first.v];
+    const NodeSet old_second = second.v >= 0 ? placement_[second.v] : NodeSet{};
+    if (second.v >= 0) {
+      add_touched(old_second);
+      add_touched(second.to);
     }
     const auto excess = [&] {
       Amount all = 0;
@@ -253,18 +253,19 @@
     };
     const Amount before = excess();
     const Objective previous = objective();
-    unplace(one.v);
-    if (two.v >= 0) unplace(two.v);
-    place(one.v, one.to);
-    if (two.v >= 0) place(two.v, two.to);
+    unplace(first.v);
+    if (second.v >= 0) unplace(second.v);
+    place(first.v, first.to);
+    if (second.v >= 0) place(second.v, second.to);
     const bool is_valid =
-        is_valid_node_set(problem_, one.v, one.to) && keeps_anti_affinity(one.v, one.to) &&
-        (two.v < 0 || (is_valid_node_set(problem_, two.v, two.to) && keeps_anti_affinity(two.v, two.to)));
+        is_valid_node_set(problem_, first.v, first.to) && keeps_anti_affinity(first.v, first.to) &&
+        (second.v < 0 ||
+         (is_valid_node_set(problem_, second.v, second.to) && keeps_anti_affinity(second.v, second.to)));
     if (is_valid && better(before, excess(), previous)) return true;
-    unplace(one.v);
-    if (two.v >= 0) unplace(two.v);
-    place(one.v, old_one);
-    if (two.v >= 0) place(two.v, old_two);
+    unplace(first.v);
+    if (second.v >= 0) unplace(second.v);
+    place(first.v, old_first);
+    if (second.v >= 0) place(second.v, old_second);
     return false;
   }
 
--- a/tests/plans/random_test.cpp
+++ b/tests/plans/random_test.cpp
@@ -41,8 +41,8 @@
       p = problem_of(given);
     } catch (const settings::Bad& e) {
       ++rejected;
-      const std::string why = e.what();
-      ASSERT_TRUE(why.starts_with("case: ") && why.find('\n') == std::string::npos) << why;
+      const std::string error = e.what();
+      ASSERT_TRUE(error.starts_with("case: ") && error.find('\n') == std::string::npos) << error;
       continue;
     }
     const solver::Solution solution = solver::solve(p, {});
