--- a/bench/rules_bench.cpp
+++ b/bench/rules_bench.cpp
@@ -10,28 +10,30 @@
 
 using namespace yewmount;
 
-struct Sink : Surroundings {
+struct Sink : HeadEnvironment {
   std::vector<std::pair<std::uint64_t, int>> sent;
   std::size_t answers = 0;
   void submit(std::uint64_t id, int node, Micros) override { sent.emplace_back(id, node); }
-  void shed(std::uint64_t, Micros, GiveUp) override { ++answers; }
-  void fail(std::uint64_t, GiveUp) override { ++answers; }
+  void shed(std::uint64_t, Micros, RejectionReason) override { ++answers; }
+  void fail(std::uint64_t, RejectionReason) override { ++answers; }
   void cancel(std::uint64_t, int) override {}
-  void wake(std::uint64_t, Micros) override {}
+  void set_timer(std::uint64_t, Micros) override {}
   void fetch_list() override {}
   void watch_list() override {}
   void probe(int) override {}
-  void note(std::string_view) override {}
+  void log_note(std::string_view) override {}
 };
 
 Provisioning given() {
   Provisioning p{};
   p.seed = 7, p.heads = 1;
-  p.groups = {{600'000'000, 900'000'000, 0, 0, 2, 0.2, Repeat::idempotent, Scope::all, false, false}};
+  p.groups = {
+      {600'000'000, 900'000'000, 0, 0, 2, 0.2, RepeatSafety::idempotent, DedupScope::all, false, false}};
   p.plans = {{0, 0, 0, 1e6, 1e6, 1, 1}};
-  p.cold_bears = 28, p.usual_units = 2, p.most_units = 6, p.share_gain = 0.35, p.beyond_gain = 0.08;
-  p.most_submits = 3, p.ask_every = -1, p.cold_from = 0.2, p.fall_multiple = 4;
-  p.warm_within = 16'000'000, p.overload_for = 3'000'000, p.turn_rest = p.budget_span = -1;
+  p.cold_capacity_units = 28, p.typical_units = 2, p.max_units = 6, p.share_gain_factor = 0.35,
+  p.excess_gain_factor = 0.08;
+  p.max_submits = 3, p.list_poll_interval = -1, p.cold_speed_factor = 0.2, p.overload_multiple = 4;
+  p.warmup_time = 16'000'000, p.overload_window = 3'000'000, p.order_gap = p.retry_budget_window = -1;
   return p;
 }
 
@@ -48,23 +50,23 @@
     names.push_back("n" + std::to_string(100 + n));
     entries.push_back({n, names.back(), NodeState::ready, n, 0, 1, 0});
   }
-  head.listed(ListKind::full, entries);
+  head.update_node_list(ListKind::full, entries);
   for (int i = 0; i < held + 32 * nodes; ++i)
-    head.take({.id = static_cast<std::uint64_t>(i + 1),
-               .object = 17u * static_cast<unsigned>(i),
-               .give_up_at = now + 900'000'000,
-               .group = 0,
-               .plan = 0,
-               .volume = i % 50,
-               .shard = fresh ? -1 : i % nodes,
-               .units = 1 + i % 6,
-               .heads = 1});
-  head.settle();
+    head.enqueue({.id = static_cast<std::uint64_t>(i + 1),
+                  .object = 17u * static_cast<unsigned>(i),
+                  .give_up_at = now + 900'000'000,
+                  .group = 0,
+                  .plan = 0,
+                  .volume = i % 50,
+                  .shard = fresh ? -1 : i % nodes,
+                  .units = 1 + i % 6,
+                  .heads = 1});
+  head.run_scheduler();
   for (auto _ : state) {
     now += 5'000;
-    head.at(now);
-    head.woke(0);
-    head.settle();
+    head.set_time(now);
+    head.on_timer(0);
+    head.run_scheduler();
   }
   state.counters["sent"] = static_cast<double>(out.sent.size());
 }
--- a/benchlink/main.cpp
+++ b/benchlink/main.cpp
@@ -1,3 +1,5 @@
+// Entry point of the simulator adapter: reads messages from standard input and writes replies to standard
+// output.
 #include <cstdlib>
 #include <iostream>
 
--- a/src/callers/callers.cpp
+++ b/src/callers/callers.cpp
@@ -296,8 +296,8 @@
 }
 
 void Callers::admit(asio::ip::tcp::socket socket, Micros waiting_since) {
-  const int at = sessions_.claim();
-  live_.add(at);
+  const int at = sessions_.allocate();
+  live_.insert(at);
   sessions_[at] = std::make_shared<Session>(std::move(socket), *this, at, ++last_token_, waiting_since);
   sessions_[at]->forget_empty_wait();
   sessions_[at]->start();
@@ -394,7 +394,7 @@
     logs::error("violation: closed unanswered",
                 {{"connection", session->token()}, {"unanswered", unanswered}});
   }
-  live_.drop(at);
+  live_.erase(at);
   sessions_.release(at);
   session->leave([&](const Caller& c) { service_.left(c); });
   if (!session->open()) return;
--- a/src/callers/callers.h
+++ b/src/callers/callers.h
@@ -12,9 +12,9 @@
 #include "net/listener.h"
 #include "net/stream.h"
 #include "resp/resp.h"
+#include "rules/containers.h"
 #include "rules/permits.h"
 #include "rules/rules.h"
-#include "rules/slab.h"
 
 namespace yewmount::callers {
 
@@ -85,7 +85,7 @@
   const std::size_t most_, most_ahead_;
   Service& service_;
   Slab<std::shared_ptr<Session>> sessions_;
-  DensePlaces live_;
+  IndexSet live_;
   std::vector<Caller> dirty_, flushing_, waiting_, resuming_, parting_, parted_;
   std::deque<std::pair<Micros, std::shared_ptr<Session>>> lingering_;  // until when
   struct Newcomer {                                                    // accepted, without a place so far
--- a/src/carrier/carrier.cpp
+++ b/src/carrier/carrier.cpp
@@ -59,8 +59,8 @@
   const bool full = best >= 0 && lines_[best].out >= given_.streams;
   if (best >= 0 && (lines_[best].out == 0 || static_cast<int>(peer.lines.size()) >= given_.connections))
     return full ? -1 : best;
-  const int at = lines_.claim();
-  live_lines_.add(at);
+  const int at = lines_.allocate();
+  live_lines_.insert(at);
   lines_[at].node = node;
   lines_[at].since = lines_[at].used = now;
   peer.lines.push_back(at);
@@ -93,7 +93,7 @@
   Out& out = outs_[at];
   Line& line = lines_[out.line];
   if (!line.greeted) return;
-  if (!out.probe && told_.may_begin(out.id, out.no) != Denial::none) {
+  if (!out.probe && told_.may_begin(out.id, out.no) != DenialReason::none) {
     soon_.push_back({out.key, Result::not_sent});
     return;
   }
@@ -106,13 +106,13 @@
 }
 
 void Carrier::begin(int node, Out&& given, Micros now) {
-  const int at = outs_.claim();
-  live_.add(at);
+  const int at = outs_.allocate();
+  live_.insert(at);
   outs_[at] = std::move(given);
   Out& out = outs_[at];
   out.node = node;
   out.at = now;
-  index_.add(out.key, at);
+  index_.insert(out.key, at);
   // Guards against a heap that grows with the rate times the longest hard limit, though all have ended long
   // ago.
   if (due_.size() > 2 * live_.size() + kDueSpare) {
@@ -199,8 +199,8 @@
                   .at = out.at,
                   .until = out.until,
                   .frame = {}};
-  index_.drop(out.key);
-  live_.drop(at);
+  index_.erase(out.key);
+  live_.erase(at);
   outs_.release(at);
   if (ended.probe) {
     told_.probe_ended(ended.node, result, now - ended.at, answer ? report(answer->load) : LoadReport{});
@@ -292,7 +292,7 @@
     line.socket->close(ignored);
   }
   std::erase(peers_[line.node].lines, at);
-  live_lines_.drop(at);
+  live_lines_.erase(at);
   line = Line{};
   lines_.release(at);
 }
--- a/src/carrier/carrier.h
+++ b/src/carrier/carrier.h
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "net/link.h"
+#include "rules/containers.h"
 #include "rules/rules.h"
-#include "rules/slab.h"
 
 namespace yewmount::carrier {
 
@@ -45,7 +45,7 @@
   virtual ~Told() = default;
   // Asked as a submit that had to wait for its node's greeting is about to leave; a denied one ends as not
   // sent.
-  virtual Denial may_begin(std::uint64_t id, int no) = 0;
+  virtual DenialReason may_begin(std::uint64_t id, int no) = 0;
   virtual void submit_ended(const Ended& ended) = 0;
   virtual void probe_ended(int node, Result result, Micros lag, const LoadReport& report) = 0;
 };
@@ -121,10 +121,10 @@
   Told& told_;
   std::vector<Peer> peers_;
   Slab<Line> lines_;
-  DensePlaces live_lines_;
+  IndexSet live_lines_;
   Slab<Out> outs_;
-  DensePlaces live_;
-  TicketIndex index_;
+  IndexSet live_;
+  IdMap index_;
   std::vector<Due> due_;  // a heap, the soonest first; entries of what has ended are swept out
   struct Soon {
     std::uint64_t key;
--- a/src/head/daemon.cpp
+++ b/src/head/daemon.cpp
@@ -34,7 +34,7 @@
   // Ids of two starts must not meet at a node: a part of each is this start's own.
   last_serial_ = (start_ & 0xfffff) << 28;
   rules_ = std::make_unique<Head>(given_.rules, *this, started_);
-  rules_->at(started_);
+  rules_->set_time(started_);
   all_plans_ = given_.rules.plans;
   remember_plan();
   start_scrub();
@@ -66,14 +66,14 @@
   const Micros now = monotonic_now();
   if (turned_ > 0 && now - turned_ > kStoodStill) ++counts_.stood_still;
   turned_ = now;
-  rules_->at(now);
+  rules_->set_time(now);
   carrier_.deliver(now);
   wakes_.due(now, [&](std::uint64_t token) {
-    rules_->woke(token);
+    rules_->on_timer(token);
     catalogue_.expire(now);
   });
   if (scrub_ && drain_from_ < 0) scrub_turn(now);
-  rules_->settle();
+  rules_->run_scheduler();
   carrier_.flush();
   catalogue_.flush();
   list_.flush();
@@ -182,8 +182,8 @@
     for (const std::string& node : due.nodes)
       if (const int at = list_.find(node); at >= 0) plan.nodes.push_back(at);
   }
-  rules_->at(monotonic_now());
-  rules_->planned(all_plans_);
+  rules_->set_time(monotonic_now());
+  rules_->update_plans(all_plans_);
 }
 
 // --- the list ---------------------------------------------------------------------------------------------
@@ -198,8 +198,8 @@
   logs::info("list",
              {{"kind", static_cast<int>(kind)}, {"version", list_.version()}, {"entries", entries.size()}});
   if (plan_.held().number > 0) tell_plans();
-  rules_->at(monotonic_now());
-  rules_->listed(kind, entries);
+  rules_->set_time(monotonic_now());
+  rules_->update_node_list(kind, entries);
 }
 
 bool Daemon::may_reuse(int node) { return rules_->forget_node(node) && carrier_.forget(node); }
@@ -228,31 +228,33 @@
   carrier_.submit(node, s, w.data, monotonic_now(), try_for);
 }
 
-void Daemon::shed(std::uint64_t id, Micros come_back_after, GiveUp) {
+void Daemon::shed(std::uint64_t id, Micros come_back_after, RejectionReason) {
   const int at = work_index_.find(id);
   ++counts_.shed;
   conclude(at, Final::shed, {}, come_back_after);
 }
 
-void Daemon::fail(std::uint64_t id, GiveUp) {
+void Daemon::fail(std::uint64_t id, RejectionReason) {
   const int at = work_index_.find(id);
   ++counts_.failed;
   conclude(at, Final::failed, {});
 }
 
-void Daemon::wake(std::uint64_t token, Micros from_now) { wakes_.add(monotonic_now() + from_now, token); }
+void Daemon::set_timer(std::uint64_t token, Micros from_now) {
+  wakes_.add(monotonic_now() + from_now, token);
+}
 
 void Daemon::probe(int node) { carrier_.probe(node, monotonic_now(), given_.connect_within); }
 
-void Daemon::note(std::string_view text) { logs::info("module", {{"says", text}}); }
+void Daemon::log_note(std::string_view text) { logs::info("module", {{"says", text}}); }
 
 void Daemon::probe_ended(int node, Result result, Micros lag, const LoadReport& report) {
-  rules_->at(monotonic_now());
-  rules_->probed(node, result, lag, report);
+  rules_->set_time(monotonic_now());
+  rules_->on_probe_result(node, result, lag, report);
 }
 
-Denial Daemon::may_begin(std::uint64_t id, int no) {
-  rules_->at(monotonic_now());
+DenialReason Daemon::may_begin(std::uint64_t id, int no) {
+  rules_->set_time(monotonic_now());
   return rules_->may_begin(id, no);
 }
 
@@ -263,7 +265,7 @@
   if (ended.result == Result::lost || ended.result == Result::error) ended.result = Result::no_connection;
 #endif
   const int at = work_index_.find(ended.id);
-  rules_->at(monotonic_now());
+  rules_->set_time(monotonic_now());
   if (at >= 0 && ended.result == Result::ended) check_sums(works_[at], ended);
   const bool good = ended.result == Result::ended;
   if (at >= 0) {
@@ -273,8 +275,8 @@
                       ended.result != Result::not_sent;
     if (good) w.ended_at = ended.node;
   }
-  rules_->answered({ended.id, ended.no, ended.node, ended.result, good || at < 0, ended.lag, ended.volume_use,
-                    ended.from_others, ended.report});
+  rules_->on_submit_result({ended.id, ended.no, ended.node, ended.result, good || at < 0, ended.lag,
+                            ended.volume_use, ended.from_others, ended.report});
   // The module may have shed or failed it in that call; a good answer ends it here.
   if (!good || at < 0 || work_index_.find(ended.id) != at) return;
   ++counts_.ended;
@@ -313,9 +315,9 @@
   const int volume_index = uses_.use(e.background ? std::string("/background") : e.ask.volume, now);
   // The number is given as it is taken, so that ids tell the order in which this head took them.
   if (e.serial == 0) e.serial = ++last_serial_;
-  const int at = works_.claim_as_left();
+  const int at = works_.allocate_uncleared();
   works_[at].renew();
-  in_hand_.add(at);
+  in_hand_.insert(at);
   Work& w = works_[at];
   w.live = true;
   w.id = e.serial << kExtentBits | e.extents++;
@@ -331,11 +333,11 @@
   w.data = std::move(data);
   w.next = next;
   e.work = at;
-  work_index_.add(w.id, at);
+  work_index_.insert(w.id, at);
   ++counts_.taken;
   const IoGroup& g = given_.rules.groups[group];
   std::uint64_t key = stable_hash(w.volume + '/' + w.object);
-  if (g.repeat == Repeat::fingerprinted) w.fingerprint = key ^ w.extent.head ^ w.extent.serial << 1;
+  if (g.repeat == RepeatSafety::fingerprinted) w.fingerprint = key ^ w.extent.head ^ w.extent.serial << 1;
   // Extents of one object have defaults of their own, unless the order by key is to be kept.
   if (!g.keeps_order && e.extents > 1) key = stable_hash(std::to_string(key) + std::to_string(e.extents));
   if (key == 0) key = 1;
@@ -346,16 +348,16 @@
   const bool answering = e.session && e.session->answering();
   if (!answering) give_up = std::min(give_up, e.answer_by);
   if (kind == wire::Kind::write) give_up -= given_.catalogue_allow;
-  rules_->at(now);
-  rules_->take({.id = w.id,
-                .object = key,
-                .give_up_at = std::max(give_up, now + 1),
-                .group = group,
-                .plan = e.background ? given_.scrub.plan : plan_of(w.volume),
-                .volume = volume_index,
-                .shard = kind == wire::Kind::write ? -1 : extent.shard,
-                .units = w.units,
-                .heads = volume.heads});
+  rules_->set_time(now);
+  rules_->enqueue({.id = w.id,
+                   .object = key,
+                   .give_up_at = std::max(give_up, now + 1),
+                   .group = group,
+                   .plan = e.background ? given_.scrub.plan : plan_of(w.volume),
+                   .volume = volume_index,
+                   .shard = kind == wire::Kind::write ? -1 : extent.shard,
+                   .units = w.units,
+                   .heads = volume.heads});
   return at;
 }
 
@@ -366,19 +368,19 @@
   Exchange& e = exchanges_[exchange];
   const bool ran = final == Final::ended || final == Final::missing || w.may_have_run || w.outs > 0;
   e.may_have_run |= ran;
-  e.effect |=
-      ran && w.kind != wire::Kind::read && given_.rules.groups[w.group].repeat == Repeat::side_effecting;
+  e.effect |= ran && w.kind != wire::Kind::read &&
+              given_.rules.groups[w.group].repeat == RepeatSafety::side_effecting;
   e.advice = advice;
   if (w.kind == wire::Kind::read) e.damaged = w.damaged > 0 && final != Final::ended;
   // What was written and where is read by the step; then the place is free, whatever is still out.
   if (final == Final::ended && w.kind == wire::Kind::write) {
     const std::uint64_t key = stable_hash(w.volume + '/' + w.object);
-    const int home = rules_->home(key, plan_of(w.volume));
+    const int home = rules_->default_node(key, plan_of(w.volume));
     e.object.extents.push_back(
         {w.extent, w.length, list_.node(w.ended_at).shard, home >= 0 ? list_.node(home).shard : -1, w.sum});
   }
-  work_index_.drop(w.id);
-  in_hand_.drop(at);
+  work_index_.erase(w.id);
+  in_hand_.erase(at);
   w.live = false;
   w.data = {};
   e.work = -1;
@@ -388,9 +390,9 @@
 
 // An exchange of no client.
 int Daemon::open_exchange() {
-  const int at = exchanges_.claim_as_left();
+  const int at = exchanges_.allocate_uncleared();
   exchanges_[at].renew();
-  open_.add(at);
+  open_.insert(at);
   Exchange& e = exchanges_[at];
   e.live = true;
   e.token = ++last_token_;
@@ -418,7 +420,7 @@
   if (!e.live) return;
   if (e.session) e.session->exchange = -1;
   e.live = false;
-  open_.drop(exchange);
+  open_.erase(exchange);
   e.session.reset();
   e.body = {};
   exchanges_.release(exchange);
@@ -541,10 +543,10 @@
   if (e.work >= 0) {
     // The module owes nothing more; submits that are out end by themselves.
     Work& w = works_[e.work];
-    rules_->at(monotonic_now());
-    rules_->client_left(w.id);
-    work_index_.drop(w.id);
-    in_hand_.drop(e.work);
+    rules_->set_time(monotonic_now());
+    rules_->on_client_disconnected(w.id);
+    work_index_.erase(w.id);
+    in_hand_.erase(e.work);
     w.data = {};
     works_.release(e.work);
     e.work = -1;
@@ -869,7 +871,7 @@
       {"plan_number", plan_.held().number},
       {"longest_turn_us", static_cast<std::uint64_t>(counts_.longest_turn)},
       {"in_hand", in_hand_.size()},
-      {"held", f.held},
+      {"held", f.queued},
       {"submits_out", carrier_.out()},
       {"clients", door_->clients()},
       {"node_connections", carrier_.connections()},
--- a/src/head/daemon.h
+++ b/src/head/daemon.h
@@ -16,8 +16,8 @@
 #include "door/session.h"
 #include "list/follower.h"
 #include "plans/plan.h"
+#include "rules/containers.h"
 #include "rules/rules.h"
-#include "rules/slab.h"
 #include "settings/head.h"
 #include "turns/turns.h"
 
@@ -30,7 +30,7 @@
   Micros longest_turn = 0;
 };
 
-class Daemon : public Surroundings, public carrier::Told, public list::Told, public door::Service {
+class Daemon : public HeadEnvironment, public carrier::Told, public list::Told, public door::Service {
  public:
   // Throws one line: what can't be bound, read or believed.
   Daemon(asio::io_context& io, settings::HeadProvision given);
@@ -114,22 +114,22 @@
   void room(door::Session& session) override;
   void left(door::Session& session) override;
   // carrier::Told
-  Denial may_begin(std::uint64_t id, int no) override;
+  DenialReason may_begin(std::uint64_t id, int no) override;
   void submit_ended(const carrier::Ended& ended) override;
   void probe_ended(int node, Result result, Micros lag, const LoadReport& report) override;
   // list::Told
   void listed(ListKind kind, std::span<const NodeEntry> entries) override;
   bool may_reuse(int node) override;
-  // Surroundings
+  // HeadEnvironment
   void submit(std::uint64_t id, int node, Micros try_for) override;
-  void shed(std::uint64_t id, Micros come_back_after, GiveUp) override;
-  void fail(std::uint64_t id, GiveUp) override;
+  void shed(std::uint64_t id, Micros come_back_after, RejectionReason) override;
+  void fail(std::uint64_t id, RejectionReason) override;
   void cancel(std::uint64_t id, int submit) override { carrier_.cancel(id, submit); }
-  void wake(std::uint64_t token, Micros from_now) override;
+  void set_timer(std::uint64_t token, Micros from_now) override;
   void fetch_list() override { list_.fetch(); }
   void watch_list() override { list_.watch(); }
   void probe(int node) override;
-  void note(std::string_view text) override;
+  void log_note(std::string_view text) override;
 
   void remember_plan();
   void tell_plans();
@@ -194,8 +194,8 @@
   std::unique_ptr<Head> rules_;
   Slab<Exchange> exchanges_;
   Slab<Work> works_;
-  TicketIndex work_index_;
-  DensePlaces open_, in_hand_;
+  IdMap work_index_;
+  IndexSet open_, in_hand_;
   turns::Indices<std::string> uses_;
   plans::Holder plan_;
   std::unordered_map<std::string, PlannedVolume> planned_;
--- a/src/head/scrubbing.cpp
+++ b/src/head/scrubbing.cpp
@@ -20,7 +20,7 @@
   const settings::Scrubbing& s = given_.scrub;
   if (s.group < 0) return;
   background::Provisioning p;
-  const double burst = 2.0 * given_.rules.most_units;
+  const double burst = 2.0 * given_.rules.max_units;
   p.classes.fill({s.units_a_second, burst});
   p.all = {s.units_a_second, burst};
   p.calm_from = s.calm_from;
@@ -64,7 +64,7 @@
 
 void Daemon::scrub_turn(Micros now) {
   Scrub& s = *scrub_;
-  s.scheduler.live(now, rules_->footprint().calm);
+  s.scheduler.live(now, rules_->footprint().headroom);
   if (now < s.next_round) return;
   s.scheduler.wants(now, background::Class::scrub, true);
   const bool starved = s.scheduler.starved(now, background::Class::scrub);
--- a/src/nodes/nodes.cpp
+++ b/src/nodes/nodes.cpp
@@ -102,8 +102,8 @@
     ++(best >= 0 ? counts_.doubled_up : counts_.no_room);
     return best;
   }
-  const int at = lines_.claim();
-  live_lines_.add(at);
+  const int at = lines_.allocate();
+  live_lines_.insert(at);
   lines_[at].node = node;
   lines_[at].since = lines_[at].answered = now;
   peer.lines.push_back(at);
@@ -157,7 +157,7 @@
     const auto next = std::find_if(on.begin(), on.end(), [&](int o) { return o >= 0 && outs_[o].end == 0; });
     if (next == on.end()) return;
     Out& out = outs_[*next];
-    if (const Denial denial = told_.may_begin(out.id, out.no); denial != Denial::none) {
+    if (const DenialReason denial = told_.may_begin(out.id, out.no); denial != DenialReason::none) {
       withhold(*next, denial);
       continue;
     }
@@ -176,14 +176,14 @@
 }
 
 // Decided in time, but its moment has passed before its first byte could leave.
-void Nodes::withhold(int at, Denial denial) {
+void Nodes::withhold(int at, DenialReason denial) {
   const Out& out = outs_[at];
   ++counts_.denied[static_cast<std::size_t>(denial)];
   if (logs::debugging())
     logs::debug("withheld", {{"id", out.id},
                              {"no", out.no},
                              {"node", peers_[out.node].name},
-                             {"why", kDenials[static_cast<std::size_t>(denial)]}});
+                             {"why", kDenialReasonNames[static_cast<std::size_t>(denial)]}});
   const int line = out.line;
   std::erase(lines_[line].out, at);
   off(at, Result::not_sent);
@@ -193,8 +193,8 @@
 void Nodes::submit(std::uint64_t id, int no, int node, const Command& command, Micros now, Micros try_for) {
   const bool known = node >= 0 && node < static_cast<int>(peers_.size()) && peers_[node].known;
   const int line = known ? line_for(node, now) : -1;
-  const int at = outs_.claim_as_left();
-  live_.add(at);
+  const int at = outs_.allocate_uncleared();
+  live_.insert(at);
   Out& out = outs_[at];
   out.id = id, out.no = no, out.node = node, out.line = line;
   out.begin = out.end = 0;
@@ -254,7 +254,7 @@
               .from_others = 0,
               .report = {},
               .value = {}};
-  live_.drop(at);
+  live_.erase(at);
   outs_[at].id = 0;  // no block I/O's: what was still to be told of this one is not
   outs_.release(at);
   if (reply && reply->kind == resp::Reply::Kind::array) {
@@ -400,7 +400,7 @@
     line.socket->close(ignored);
   }
   std::erase(peers_[line.node].lines, at);
-  live_lines_.drop(at);
+  live_lines_.erase(at);
   line = Line{};
   lines_.release(at);
 }
--- a/src/nodes/nodes.h
+++ b/src/nodes/nodes.h
@@ -16,8 +16,8 @@
 #include "net/stream.h"
 #include "nodes/reuse.h"
 #include "resp/resp.h"
+#include "rules/containers.h"
 #include "rules/rules.h"
-#include "rules/slab.h"
 
 namespace yewmount::nodes {
 
@@ -49,7 +49,7 @@
  public:
   virtual ~Told() = default;
   // Asked right before the first byte of a submit leaves; a denied one ends as not sent.
-  virtual Denial may_begin(std::uint64_t id, int no) = 0;
+  virtual DenialReason may_begin(std::uint64_t id, int no) = 0;
   virtual void submit_ended(const Ended& ended) = 0;
 };
 
@@ -74,7 +74,7 @@
 struct Counts {
   std::uint64_t opened = 0, connections_lost = 0, spoilt = 0, strays = 0, doubled_up = 0, no_room = 0;
   std::array<std::uint64_t, kClosed.size()> closed = {};   // by Closed
-  std::array<std::uint64_t, kDenials.size()> denied = {};  // by Denial
+  std::array<std::uint64_t, kDenialReasonNames.size()> denied = {};  // by DenialReason
 };
 
 class Nodes {
@@ -144,7 +144,7 @@
   bool left_whole(const Line& line, const Out& out) const;
   void gone(int line, Closed reason, const char* why);
   void drop(int line, Closed reason);
-  void withhold(int out, Denial denial);
+  void withhold(int out, DenialReason denial);
   void drop_idle(int node, Micros quiet_since);
   void end(int out, Result result, Micros now, const resp::Reply* reply = nullptr);
   void give_up(int out, Result result, Micros now);
@@ -157,9 +157,9 @@
   Told& told_;
   std::vector<Peer> peers_;
   Slab<Line> lines_;
-  DensePlaces live_lines_;
+  IndexSet live_lines_;
   Slab<Out> outs_;
-  DensePlaces live_;
+  IndexSet live_;
   std::vector<Soon> soon_, telling_;
   std::vector<int> dirty_, work_;
   std::string fields_;
--- a/src/provision/provision.cpp
+++ b/src/provision/provision.cpp
@@ -4,17 +4,18 @@
 namespace {
 
 IoGroup io_group(const json& c) {
-  static constexpr std::pair<const char*, Repeat> repeats[] = {{"read_like", Repeat::idempotent},
-                                                               {"idempotency_key", Repeat::fingerprinted},
-                                                               {"non_idempotent", Repeat::side_effecting}};
-  static constexpr std::pair<const char*, Scope> scopes[] = {
-      {"all", Scope::all}, {"zone", Scope::zone}, {"cell", Scope::cell}};
+  static constexpr std::pair<const char*, RepeatSafety> repeats[] = {
+      {"read_like", RepeatSafety::idempotent},
+      {"idempotency_key", RepeatSafety::fingerprinted},
+      {"non_idempotent", RepeatSafety::side_effecting}};
+  static constexpr std::pair<const char*, DedupScope> scopes[] = {
+      {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}};
   return {.latency_goal = time_of(c, "objective-s"),
           .hard_limit = time_of(c, "deadline-s"),
-          .memory_span = time_or(c, "memory-span-s", 0),
-          .goal_stretch = get_or<double>(c, "aim-stretch", 0),
+          .dedup_window = time_or(c, "memory-span-s", 0),
+          .goal_service_multiple = get_or<double>(c, "aim-stretch", 0),
           .gain = get<double>(c, "credit"),
-          .late_part = get_or<double>(c, "late-worth", 0),
+          .late_gain_factor = get_or<double>(c, "late-worth", 0),
           .repeat = word(get<std::string>(c, "idempotency"), repeats, "idempotency"),
           .scope = word(get_or<std::string>(c, "key-scope", "all"), scopes, "key-scope"),
           .streams = get_or<bool>(c, "stream", false),
@@ -63,31 +64,31 @@
                      .own_number = get<int>(conf, "rank"),
                      .groups = {},
                      .plans = {},
-                     .cold_bears = get<double>(info, "cold-bears"),
-                     .usual_units = get<double>(info, "usual-units"),
-                     .most_units = get<double>(info, "most-units"),
-                     .share_gain = get<double>(info, "share-worth"),
-                     .beyond_gain = get<double>(info, "beyond-share"),
+                     .cold_capacity_units = get<double>(info, "cold-bears"),
+                     .typical_units = get<double>(info, "usual-units"),
+                     .max_units = get<double>(info, "most-units"),
+                     .share_gain_factor = get<double>(info, "share-worth"),
+                     .excess_gain_factor = get<double>(info, "beyond-share"),
                      .meter_period = time_or(info, "meter-s", 0),
-                     .tells_elsewhere = get_or<bool>(info, "tells-elsewhere", false),
-                     .list_asked = get<std::string>(conf, "registry-mode") == "ask",
-                     .sizes_told = sizes == "nominal" || sizes == "rough",
-                     .may_copy = get<bool>(limits, "may-duplicate"),
+                     .reports_other_heads = get_or<bool>(info, "tells-elsewhere", false),
+                     .polls_list = get<std::string>(conf, "registry-mode") == "ask",
+                     .has_node_sizes = sizes == "nominal" || sizes == "rough",
+                     .may_duplicate = get<bool>(limits, "may-duplicate"),
                      .may_cancel = get<bool>(limits, "cancel"),
                      .may_probe = get<bool>(limits, "probes"),
-                     .takes_advice = get<bool>(limits, "retry-after"),
-                     .most_submits = get<int>(limits, "max-attempts"),
-                     .longest_advice = time_or(limits, "max-retry-after-s", 0),
+                     .may_advise_retry = get<bool>(limits, "retry-after"),
+                     .max_submits = get<int>(limits, "max-attempts"),
+                     .max_retry_advice = time_or(limits, "max-retry-after-s", 0),
                      .answer_slack = time_of(rules, "answer-slack-s"),
-                     .ask_every = time_or(rules, "ask-every-s", -1),
-                     .cold_from = get<double>(rules, "cold-from"),
-                     .fall_multiple = get<double>(rules, "fall-multiple"),
-                     .warm_within = time_of(rules, "warm-within-s"),
-                     .overload_for = time_of(rules, "overload-for-s"),
-                     .turn_rest = time_or(rules, "turn-gap-s", -1),
-                     .budget_spare = get_or<double>(rules, "spare-attempts", -1),
-                     .budget_share = get_or<double>(rules, "budget-share", -1),
-                     .budget_span = time_or(rules, "budget-span-s", -1)};
+                     .list_poll_interval = time_or(rules, "ask-every-s", -1),
+                     .cold_speed_factor = get<double>(rules, "cold-from"),
+                     .overload_multiple = get<double>(rules, "fall-multiple"),
+                     .warmup_time = time_of(rules, "warm-within-s"),
+                     .overload_window = time_of(rules, "overload-for-s"),
+                     .order_gap = time_or(rules, "turn-gap-s", -1),
+                     .retry_budget_base = get_or<double>(rules, "spare-attempts", -1),
+                     .retry_budget_ratio = get_or<double>(rules, "budget-share", -1),
+                     .retry_budget_window = time_or(rules, "budget-span-s", -1)};
   for (const json& c : part(conf, "classes", json::value_t::array)) {
     all.groups.index(get<std::string>(c, "name"));
     given.groups.push_back(io_group(c));
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -112,7 +112,7 @@
              {given_.platform.streams, half(given_.sockets), given_.platform.connect_within,
               given_.platform.idle, given_.memory / kValuePart, given_.memory / kHeldPart},
              *this),
-      members_(io, given_.platform.head.list_asked, given_.platform.head.seed, *this),
+      members_(io, given_.platform.head.polls_list, given_.platform.head.seed, *this),
       now_(monotonic_now()),
       rules_(std::make_unique<Head>(given_.platform.head, *this, now_)) {
   members_.know(given_.known);
@@ -123,7 +123,7 @@
 
 Micros Relay::now() {
   now_ = monotonic_now();
-  rules_->at(now_);
+  rules_->set_time(now_);
   return now_;
 }
 
@@ -157,8 +157,8 @@
   turned_ = now_;
   nodes_.deliver(now_);
   callers_.deliver();
-  wakes_.due(now_, [&](std::uint64_t token) { rules_->woke(token); });
-  rules_->settle();
+  wakes_.due(now_, [&](std::uint64_t token) { rules_->on_timer(token); });
+  rules_->run_scheduler();
   nodes_.flush();
   callers_.flush();
   if (now_ - looked_ >= kTidy) {
@@ -192,9 +192,9 @@
           {"full", counts_.full},
           {"submits", counts_.submits},
           {"further", counts_.further},
-          {"in_hand", f.in_hand},
-          {"held", f.held},
-          {"calm", f.calm},
+          {"in_hand", f.active},
+          {"held", f.queued},
+          {"calm", f.headroom},
           {"clients", callers_.clients()},
           {"unread", c.unread},
           {"turned_back", c.turned_back},
@@ -207,9 +207,9 @@
           {"strays", n.strays},
           {"doubled_up", n.doubled_up},
           {"no_room", n.no_room},
-          {"outcomes", by_name(kResults, counts_.outcomes)},
-          {"given_up", by_name(kGiveUps, counts_.given_up)},
-          {"denied", by_name(kDenials, n.denied)},
+          {"outcomes", by_name(kResultNames, counts_.outcomes)},
+          {"given_up", by_name(kRejectionReasonNames, counts_.given_up)},
+          {"denied", by_name(kDenialReasonNames, n.denied)},
           {"clients_closed", by_name(permits::kCloseReasons, c.closed)},
           {"nodes_closed", by_name(nodes::kClosed, n.closed)},
           {"violations",
@@ -240,7 +240,7 @@
   members_.follow(given.members);
   // A plan keeps its place in the module: only figures may differ.
   if (given.platform.plans == given_.platform.plans)
-    rules_->planned(given.platform.head.plans);
+    rules_->update_plans(given.platform.head.plans);
   else
     logs::warn("which plans there are changes only with a restart");
 }
@@ -279,7 +279,7 @@
       if (has_volume || !hex(value, volume)) return "the volume is not 16 hex digits";
       has_volume = true;
     } else if (name == "units") {
-      if (units >= 0 || !whole(value, 1, static_cast<long>(platform.head.most_units), units))
+      if (units >= 0 || !whole(value, 1, static_cast<long>(platform.head.max_units), units))
         return "bad units";
     } else if (name == "shard") {
       if (shard >= -1 || !whole(value, -1, kMostShard, shard)) return "bad shard";
@@ -326,7 +326,7 @@
               .shard = -1,
               .units = 0,
               .heads = 0};
-  const int at = works_.claim_as_left();
+  const int at = works_.allocate_uncleared();
   Work& work = works_[at];
   work.submits = work.out = 0;
   work.may_have_run = work.parting = false;
@@ -348,16 +348,16 @@
   bytes_ += work.command.bytes();
   work.caller = caller;
   bio.id = work.id = ++last_id_;
-  in_hand_.add(at);
-  by_id_.add(bio.id, at);
-  by_name_.add(work.name, at);
+  in_hand_.insert(at);
+  by_id_.insert(bio.id, at);
+  by_name_.insert(work.name, at);
   if (trace_)
     logs::debug("taken", {{"id", work.id},
                           {"request", hex_text(work.name)},
                           {"connection", caller.token},
                           {"waited", now_ - came},
                           {"left", work.give_up_at - now_}});
-  rules_->take(bio);
+  rules_->enqueue(bio);
 }
 
 int Relay::find(const callers::Caller& caller) const {
@@ -374,7 +374,7 @@
   say_final(at, "left", "client gone");
   const std::uint64_t id = works_[at].id;
   let_go(at);
-  rules_->client_left(id);
+  rules_->on_client_disconnected(id);
   nodes_.retract(id);
 }
 
@@ -398,21 +398,21 @@
   say_final(at, work.parting ? "left" : run ? "failed" : "shed", work.parting ? "client ended" : "stopping");
   callers_.answer(work.caller, run ? "-ERR failed\r\n" : "-BUSY\r\n");
   let_go(at);
-  rules_->client_left(id);
+  rules_->on_client_disconnected(id);
 }
 
 void Relay::let_go(int at) {
   Work& work = works_[at];
   bytes_ -= work.command.bytes();
-  by_id_.drop(work.id);
-  by_name_.drop(work.name);
-  in_hand_.drop(at);
+  by_id_.erase(work.id);
+  by_name_.erase(work.name);
+  in_hand_.erase(at);
   works_.release(at);
   if (work.command.behind.capacity() > resp::kMostLine)
     work.command.behind = {};  // a body's memory is not kept
 }
 
-void Relay::shed(std::uint64_t id, Micros come_back_after, GiveUp why) {
+void Relay::shed(std::uint64_t id, Micros come_back_after, RejectionReason why) {
   const int at = by_id_.find(id);
   if (at < 0) return;
   ++counts_.shed;
@@ -420,17 +420,17 @@
   text_ = "-BUSY";
   if (come_back_after > 0) text_ += " " + std::to_string((come_back_after + 999) / 1000);
   text_ += "\r\n";
-  say_final(at, "shed", kGiveUps[static_cast<std::size_t>(why)]);
+  say_final(at, "shed", kRejectionReasonNames[static_cast<std::size_t>(why)]);
   callers_.answer(works_[at].caller, text_);
   let_go(at);
 }
 
-void Relay::fail(std::uint64_t id, GiveUp why) {
+void Relay::fail(std::uint64_t id, RejectionReason why) {
   const int at = by_id_.find(id);
   if (at < 0) return;
   ++counts_.failed;
   ++counts_.given_up[static_cast<std::size_t>(why)];
-  say_final(at, "failed", kGiveUps[static_cast<std::size_t>(why)]);
+  say_final(at, "failed", kRejectionReasonNames[static_cast<std::size_t>(why)]);
   callers_.error(works_[at].caller, "failed");
   let_go(at);
 }
@@ -444,22 +444,23 @@
   ++counts_.submits;
   if (work.submits > 0) ++counts_.further;
   if (trace_)
-    logs::debug("submit", {{"id", id},
-                           {"no", work.submits},
-                           {"after", work.submits > 0 ? kResults[static_cast<std::size_t>(work.last)] : ""},
-                           {"node", members_.node(node).name},
-                           {"left", try_for}});
+    logs::debug("submit",
+                {{"id", id},
+                 {"no", work.submits},
+                 {"after", work.submits > 0 ? kResultNames[static_cast<std::size_t>(work.last)] : ""},
+                 {"node", members_.node(node).name},
+                 {"left", try_for}});
   ++work.out;
   nodes_.submit(id, work.submits++, node, work.command, now_, try_for);
 }
 
 // The module's rules, and what only the socket tells: a client that has just closed.
-Denial Relay::may_begin(std::uint64_t id, int no) {
+DenialReason Relay::may_begin(std::uint64_t id, int no) {
   now();
   const int at = by_id_.find(id);
-  if (at < 0 || works_[at].parting) return Denial::request_over;
+  if (at < 0 || works_[at].parting) return DenialReason::request_over;
   const Work& work = works_[at];
-  if (now_ - work.taken >= kGoneWithin && callers_.hung_up(work.caller)) return Denial::request_over;
+  if (now_ - work.taken >= kGoneWithin && callers_.hung_up(work.caller)) return DenialReason::request_over;
   return rules_->may_begin(id, no);
 }
 
@@ -476,7 +477,7 @@
     logs::debug("ended", {{"id", ended.id},
                           {"no", ended.no},
                           {"node", members_.node(ended.node).name},
-                          {"result", kResults[static_cast<std::size_t>(ended.result)]},
+                          {"result", kResultNames[static_cast<std::size_t>(ended.result)]},
                           {"lag", ended.lag},
                           {"use", ended.volume_use},
                           {"others", ended.from_others},
@@ -496,8 +497,8 @@
     works_[at].may_have_run |= ended.result != Result::turned_away && ended.result != Result::no_connection &&
                                ended.result != Result::not_sent;
   }
-  rules_->answered({ended.id, ended.no, ended.node, ended.result, good || parting || at < 0, ended.lag,
-                    ended.volume_use, ended.from_others, ended.report});
+  rules_->on_submit_result({ended.id, ended.no, ended.node, ended.result, good || parting || at < 0,
+                            ended.lag, ended.volume_use, ended.from_others, ended.report});
   // The module may have shed or failed it in that call; a good answer ends it here.
   if (at < 0 || by_id_.find(ended.id) != at) return;
   if (!good) {
@@ -529,7 +530,7 @@
                         {"left", -over}});
 }
 
-void Relay::note(std::string_view text) { logs::info("module", {{"says", text}}); }
+void Relay::log_note(std::string_view text) { logs::info("module", {{"says", text}}); }
 
 // --- the list of nodes ------------------------------------------------------------------------------------
 
@@ -539,13 +540,13 @@
     const members::Known& n = members_.node(e.node);
     if (trace_)
       logs::debug("node", {{"node", n.name},
-                           {"state", kNodeStates[static_cast<std::size_t>(e.state)]},
+                           {"state", kNodeStateNames[static_cast<std::size_t>(e.state)]},
                            {"up_since", e.up_since},
                            {"version", members_.version()}});
     if (e.state != NodeState::gone) nodes_.node_at(e.node, n.name, n.at, n.started);
     if (e.state != NodeState::ready) nodes_.recall(e.node);
   }
-  rules_->listed(kind, entries);
+  rules_->update_node_list(kind, entries);
   if (kind == ListKind::full || kind == ListKind::cached) {
     for (int i = 0; i < members_.size(); ++i)
       if (members_.node(i).used && members_.node(i).state == NodeState::gone) nodes_.recall(i);
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -14,8 +14,8 @@
 #include "members/members.h"
 #include "nodes/nodes.h"
 #include "provision/provision.h"
+#include "rules/containers.h"
 #include "rules/rules.h"
-#include "rules/slab.h"
 #include "turns/turns.h"
 
 namespace yewmount::relay {
@@ -43,12 +43,13 @@
                 further = 0;
   std::uint64_t stood_still = 0;
   Micros longest_turn = 0;
-  std::array<std::uint64_t, kGiveUps.size()> given_up = {};  // shed or failed by the module, by GiveUp
-  std::array<std::uint64_t, kResults.size()> outcomes = {};  // of submits, by Result
+  std::array<std::uint64_t, kRejectionReasonNames.size()> given_up =
+      {};  // shed or failed by the module, by RejectionReason
+  std::array<std::uint64_t, kResultNames.size()> outcomes = {};  // of submits, by Result
   Violations violations;
 };
 
-class Relay : public Surroundings, public callers::Service, public nodes::Told, public members::Told {
+class Relay : public HeadEnvironment, public callers::Service, public nodes::Told, public members::Told {
  public:
   Relay(asio::io_context& io, Deployment given);
   ~Relay() override;
@@ -78,21 +79,21 @@
   void left(const callers::Caller& caller) override;
   void parting(const callers::Caller& caller) override;
   // nodes::Told
-  Denial may_begin(std::uint64_t id, int no) override;
+  DenialReason may_begin(std::uint64_t id, int no) override;
   void submit_ended(const nodes::Ended& ended) override;
   // members::Told
   void listed(ListKind kind, std::span<const NodeEntry> entries) override;
   bool may_reuse(int node) override;
-  // Surroundings
+  // HeadEnvironment
   void submit(std::uint64_t id, int node, Micros try_for) override;
-  void shed(std::uint64_t id, Micros come_back_after, GiveUp) override;
-  void fail(std::uint64_t id, GiveUp) override;
+  void shed(std::uint64_t id, Micros come_back_after, RejectionReason) override;
+  void fail(std::uint64_t id, RejectionReason) override;
   void cancel(std::uint64_t id, int submit) override { nodes_.cancel(id, submit); }
-  void wake(std::uint64_t token, Micros from_now) override { wakes_.add(now_ + from_now, token); }
+  void set_timer(std::uint64_t token, Micros from_now) override { wakes_.add(now_ + from_now, token); }
   void fetch_list() override {}  // the list is followed all the time
   void watch_list() override {}
   void probe(int) override {}  // the protocol has none, and the module is told so
-  void note(std::string_view text) override;
+  void log_note(std::string_view text) override;
 
   const char* read(const resp::Command& command, BlockIo& bio, Work& work, Micros came);
   int find(const callers::Caller& caller) const;
@@ -112,8 +113,8 @@
   turns::Wakes wakes_;
   turns::Indices<std::uint64_t> volumes_;
   Slab<Work> works_;
-  DensePlaces in_hand_;
-  TicketIndex by_id_, by_name_;
+  IndexSet in_hand_;
+  IdMap by_id_, by_name_;
   std::uint64_t last_id_ = 0;
   std::size_t bytes_ = 0;  // of the commands in hand
   std::string text_;
--- a/src/rules/permits.cpp
+++ b/src/rules/permits.cpp
@@ -5,46 +5,49 @@
 namespace yewmount::permits {
 namespace {
 
-bool counts(const Attempt& a) { return a.out || a.may_have_run; }
+bool may_have_effect(const Attempt& attempt) { return attempt.in_flight || attempt.may_have_run; }
 
-// Whether the nodes that would recognise a repeat of `a` include the target.
-bool recognised(const IoGroup& group, const Attempt& a, const Target& target) {
+// Whether the target would recognise a repeat of the attempt by its fingerprint.
+bool is_in_dedup_scope(const IoGroup& group, const Attempt& attempt, const Target& target) {
   switch (group.scope) {
-    case Scope::all:
+    case DedupScope::all:
       return true;
-    case Scope::zone:
-      return a.zone == target.zone;
-    case Scope::cell:
-      return a.shard == target.shard;
+    case DedupScope::zone:
+      return attempt.zone == target.zone;
+    case DedupScope::cell:
+      return attempt.shard == target.shard;
   }
   return false;
 }
 
 }  // namespace
 
-bool untouched(std::span<const Attempt> earlier) { return std::ranges::none_of(earlier, counts); }
+bool no_effect_possible(std::span<const Attempt> earlier) {
+  return std::ranges::none_of(earlier, may_have_effect);
+}
 
-Denial may_repeat(const IoGroup& group, std::span<const Attempt> earlier, const Target& target, Micros now) {
-  if (group.repeat == Repeat::idempotent || untouched(earlier)) return Denial::none;
-  if (group.repeat == Repeat::side_effecting) return Denial::effect_possible;
-  for (const Attempt& a : earlier) {
-    if (!counts(a)) continue;
-    if (now + kHoldUp >= a.sent + group.memory_span) return Denial::memory_over;
-    if (!recognised(group, a, target)) return Denial::outside_scope;
+DenialReason may_repeat(const IoGroup& group, std::span<const Attempt> earlier, const Target& target,
+                        Micros now) {
+  if (group.repeat == RepeatSafety::idempotent || no_effect_possible(earlier)) return DenialReason::none;
+  if (group.repeat == RepeatSafety::side_effecting) return DenialReason::effect_possible;
+  for (const Attempt& attempt : earlier) {
+    if (!may_have_effect(attempt)) continue;
+    if (now + kMaxProcessPauseUs >= attempt.sent_at + group.dedup_window) return DenialReason::memory_over;
+    if (!is_in_dedup_scope(group, attempt, target)) return DenialReason::outside_scope;
   }
-  return Denial::none;
+  return DenialReason::none;
 }
 
-Denial may_begin(const IoGroup& group, std::span<const Attempt> earlier, const Target& target, Micros now,
-                 Micros give_up_at) {
-  if (target.state != NodeState::ready) return Denial::node_not_ready;
-  if (now >= give_up_at) return Denial::time_over;
+DenialReason may_begin(const IoGroup& group, std::span<const Attempt> earlier, const Target& target,
+                       Micros now, Micros give_up_at) {
+  if (target.state != NodeState::ready) return DenialReason::node_not_ready;
+  if (now >= give_up_at) return DenialReason::time_over;
   return may_repeat(group, earlier, target, now);
 }
 
 bool may_refuse(const IoGroup& group, std::span<const Attempt> earlier) {
-  return group.repeat == Repeat::idempotent || untouched(earlier) ||
-         (group.repeat == Repeat::fingerprinted && group.scope == Scope::all);
+  return group.repeat == RepeatSafety::idempotent || no_effect_possible(earlier) ||
+         (group.repeat == RepeatSafety::fingerprinted && group.scope == DedupScope::all);
 }
 
 bool may_close(CloseReason reason, std::size_t unanswered) {
--- a/src/rules/permits.h
+++ b/src/rules/permits.h
@@ -1,7 +1,7 @@
-// What the rules permit at one moment: whether an attempt may begin at a node, be repeated, or end in a
-// refusal that promises no effect, and whether a client's connection may be closed. Pure functions without
-// state or I/O. The module asks when it decides, the network code again when the first byte is about to
-// leave: a connection that comes up late lies between the two.
+// Safety checks, as pure functions: whether an attempt may begin at a node, be repeated, or end in a refusal
+// that promises no effect, and whether a client's connection may be closed. The scheduler checks when it
+// decides; the network code checks again before it sends the first byte, because opening a connection may
+// take long.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -12,51 +12,56 @@
 
 namespace yewmount::permits {
 
-// Microseconds that a head may be held up between reading its clock and writing (operators' standing test).
-inline constexpr Micros kHoldUp = 150'000;
+// The longest pause of the process between reading the clock and writing that repeats must be safe against.
+inline constexpr Micros kMaxProcessPauseUs = 150'000;
 
 // An earlier attempt of the same request.
 struct Attempt {
-  Micros sent;      // when it was decided, which is no later than when it ran
-  int zone, shard;  // of its node
-  bool out;         // no outcome so far
+  Micros sent_at;  // when it was decided, which is no later than when it ran
+  int zone;        // of its node
+  int shard;       // of its node
+  bool in_flight;
   bool may_have_run;
 };
 
+// The node that an attempt is to be sent to.
 struct Target {
   NodeState state;
-  int zone, shard;
+  int zone;
+  int shard;
 };
 
 // Whether no earlier attempt can have had an effect.
-bool untouched(std::span<const Attempt> earlier);
+bool no_effect_possible(std::span<const Attempt> earlier);
 
-// Whether a further attempt at the target keeps the rule that no effect happens twice.
-Denial may_repeat(const IoGroup& group, std::span<const Attempt> earlier, const Target& target, Micros now);
+// Whether a further attempt at the target cannot cause an effect twice.
+DenialReason may_repeat(const IoGroup& group, std::span<const Attempt> earlier, const Target& target,
+                        Micros now);
 
-// Whether an attempt may begin now: the above, and a node that wants work, and time left to the client.
-Denial may_begin(const IoGroup& group, std::span<const Attempt> earlier, const Target& target, Micros now,
-                 Micros give_up_at);
+// Whether an attempt may begin now: a repeat is safe, the node is ready, and the deadline has not passed.
+DenialReason may_begin(const IoGroup& group, std::span<const Attempt> earlier, const Target& target,
+                       Micros now, Micros give_up_at);
 
 // Whether the request may be answered with a refusal, which tells the client that a retry is harmless.
 bool may_refuse(const IoGroup& group, std::span<const Attempt> earlier);
 
-// Why a client's connection is closed by this side, or what ended it.
+// Why a client connection ended.
 enum class CloseReason : std::uint8_t {
-  broken,      // reset by the client, or an error of the socket
-  ended,       // the client ended its sending and has all its answers
-  unreadable,  // what it sent can't be a command, or does not go on
-  stalled,     // takes no answer for too long
-  silent,      // never asked, or nothing for long
-  evicted,     // its descriptor is needed
-  idle,        // between commands, while the process ends
-  stopping,    // the process has answered all and ends
-  exception    // a fault of this program
+  broken,      // reset by the client, or a socket error
+  ended,       // half-closed by the client, and all answers are sent
+  unreadable,  // malformed or incomplete command
+  stalled,     // the client did not read its answers for too long
+  silent,      // idle timeout
+  evicted,     // closed to free a file descriptor
+  idle,        // between commands during a graceful shutdown
+  stopping,    // all answers are sent, and the process stops
+  exception    // internal error
 };
 inline constexpr std::array<std::string_view, 9> kCloseReasons = {
     "broken", "ended", "unreadable", "stalled", "silent", "evicted", "idle", "stopping", "exception"};
 
-// A request that was read has to get its answer: only a client that has gone, or takes no answers, loses one.
+// Whether a connection with unanswered requests may be closed. Each request that was read must be answered,
+// unless the client has disconnected or does not read its answers.
 bool may_close(CloseReason reason, std::size_t unanswered);
 
 }  // namespace yewmount::permits
--- a/src/rules/rules.h
+++ b/src/rules/rules.h
@@ -1,4 +1,5 @@
-// The interface of the decision module (rules.cpp): no wire, no decision, no figure of its own.
+// Public interface of the scheduler that decides routing, admission, retries and node health for one head.
+// It does no I/O: callers pass events in, and the scheduler acts through HeadEnvironment.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -9,163 +10,231 @@
 
 namespace yewmount {
 
+// Microseconds; instants are on the caller's monotonic clock.
 using Micros = std::int64_t;
 
-enum class Repeat : std::uint8_t { idempotent, fingerprinted, side_effecting };
-enum class Scope : std::uint8_t { all, zone, cell };
+// Whether a request may be executed again after an attempt that may have had an effect.
+enum class RepeatSafety : std::uint8_t {
+  idempotent,     // always
+  fingerprinted,  // while a node still remembers the fingerprint of the first attempt
+  side_effecting  // never
+};
+// The nodes that recognise the fingerprint of an earlier attempt: all, those of its zone, or its shard's.
+enum class DedupScope : std::uint8_t { all, zone, cell };
 enum class NodeState : std::uint8_t { gone, ready, draining };
+// How a node list was obtained: changed entries, a complete list, a complete list from a local copy, or not.
 enum class ListKind : std::uint8_t { delta, full, cached, failed };
+// How a submit ended.
 enum class Result : std::uint8_t {
-  ended,
-  error,
-  turned_away,
-  no_answer,
-  no_connection,
-  lost,
-  called_off,
-  not_sent
+  ended,          // completed successfully
+  error,          // the node answered with an error
+  turned_away,    // the node refused it without running it
+  no_answer,      // timed out
+  no_connection,  // never reached the node
+  lost,           // the connection broke before the answer
+  called_off,     // cancelled by this head
+  not_sent        // denied as its first byte was about to be sent
 };
 
-// Why an attempt may not begin now.
-enum class Denial : std::uint8_t {
+// Why a submit may not begin now.
+enum class DenialReason : std::uint8_t {
   none,
-  request_over,     // answered already, or its client has gone
-  node_not_ready,   // it drains or is gone
-  time_over,        // the client has no time left
-  effect_possible,  // an earlier attempt may have run, and the class may not be repeated
-  memory_over,      // the nodes may have forgotten the earlier attempt
+  request_over,     // the request has its final answer, or its client has disconnected
+  node_not_ready,   // the node is draining or gone
+  time_over,        // the client's deadline has passed
+  effect_possible,  // an earlier submit may have run, and the I/O group forbids a repeat
+  memory_over,      // the nodes may have forgotten the fingerprint of the earlier submit
   outside_scope     // this node would not recognise the repeat
 };
-inline constexpr std::array<std::string_view, 7> kDenials = {
+inline constexpr std::array<std::string_view, 7> kDenialReasonNames = {
     "none", "request_over", "node_not_ready", "time_over", "effect_possible", "memory_over", "outside_scope"};
 
 // Why a block I/O is shed or failed.
-enum class GiveUp : std::uint8_t {
-  goal_passed,  // no submit could be in time any more
-  priced_out,   // it earns less than its node's price
-  crowded_out,  // of those that wait at its node it earns least
-  time_over,    // its client's time is up
-  no_further    // its submits failed and none may follow
+enum class RejectionReason : std::uint8_t {
+  goal_passed,  // its latency goal has passed while it was queued
+  priced_out,   // its gain is below the shedding price of its node
+  crowded_out,  // it had the least gain of the requests queued for an overloaded node
+  time_over,    // the client's deadline has passed
+  no_further    // its submits failed and it may not be retried
 };
-inline constexpr std::array<std::string_view, 5> kGiveUps = {"goal_passed", "priced_out", "crowded_out",
-                                                             "time_over", "no_further"};
+inline constexpr std::array<std::string_view, 5> kRejectionReasonNames = {
+    "goal_passed", "priced_out", "crowded_out", "time_over", "no_further"};
 
-inline constexpr std::array<std::string_view, 3> kNodeStates = {"gone", "ready", "draining"};
-inline constexpr std::array<std::string_view, 8> kResults = {
+inline constexpr std::array<std::string_view, 3> kNodeStateNames = {"gone", "ready", "draining"};
+inline constexpr std::array<std::string_view, 8> kResultNames = {
     "ended", "error", "turned_away", "no_answer", "no_connection", "lost", "called_off", "not_sent"};
 
+// The objectives that block I/Os of one kind share.
 struct IoGroup {
-  Micros latency_goal, hard_limit, memory_span;
-  double goal_stretch, gain, late_part;
-  Repeat repeat;
-  Scope scope;
-  bool streams, keeps_order;
+  Micros latency_goal;
+  Micros hard_limit;             // the longest that a client waits
+  Micros dedup_window;           // how long nodes remember a fingerprint
+  double goal_service_multiple;  // added to the latency goal, in mean service times of the request
+  double gain;                   // of a typical request served in time
+  double late_gain_factor;       // of the gain, for a request that comes too late for its goal
+  RepeatSafety repeat;
+  DedupScope scope;
+  bool streams;      // the answer is a stream
+  bool keeps_order;  // requests with the same object run one after the other
 };
 
+// The quota of a volume, for all heads together.
 struct Plan {
-  double limit, burst, slack;  // units a second, units, units; limit 0: none
-  double nominal, reserve, weight, gain_factor;
-  std::vector<int> nodes = {};  // where new objects go while one of them can take them; empty: anywhere
+  double limit;  // units a second; 0: no limit
+  double burst;  // units
+  double slack;  // units that the limit may be exceeded by
+  double nominal;
+  double reserve;
+  double weight;
+  double gain_factor;
+  std::vector<int> nodes = {};  // preferred for new objects while one of them has capacity; empty: any node
 };
 
-// What a head is handed when it starts. Absent budgets and rests are negative.
+// The configuration of a head. Absent retry budgets and order gaps are negative.
 struct Provisioning {
   std::uint64_t seed;
-  int heads, own_number;
+  int heads;       // instances that share the nodes
+  int own_number;  // of this head, from 0
   std::vector<IoGroup> groups;
   std::vector<Plan> plans;
-  double cold_bears, usual_units, most_units, share_gain, beyond_gain;
-  Micros meter_period;
-  bool tells_elsewhere, list_asked, sizes_told;
-  bool may_copy, may_cancel, may_probe, takes_advice;
-  int most_submits;
-  Micros longest_advice, answer_slack, ask_every;
-  double cold_from, fall_multiple;
-  Micros warm_within, overload_for, turn_rest;
-  double budget_spare, budget_share;
-  Micros budget_span;
+  double cold_capacity_units;  // that a node which has just started bears within the overload window
+  double typical_units;        // size of a typical request
+  double max_units;            // size of the largest request
+  double share_gain_factor;    // gain of units within the weighted share, relative to those in the reserve
+  double excess_gain_factor;   // the same for units beyond the share
+  Micros meter_period;         // over which nodes meter the use of a volume; 0: not metered
+  bool reports_other_heads;    // nodes report what other heads sent for the volume
+  bool polls_list;             // the list service is polled
+  bool has_node_sizes;         // the node list gives relative sizes
+  bool may_duplicate;          // a second submit may run at the same time
+  bool may_cancel;
+  bool may_probe;
+  bool may_advise_retry;  // a shed request may carry a retry delay
+  int max_submits;
+  Micros max_retry_advice;
+  Micros answer_slack;        // that a final answer may come after the deadline
+  Micros list_poll_interval;  // negative: none
+  double cold_speed_factor;   // speed of a node that has just started, relative to a warm one
+  double overload_multiple;   // a cold node fails beyond this multiple of what it recently served
+  Micros warmup_time;
+  Micros overload_window;
+  Micros order_gap;           // after a submit with unknown outcome, before the next of its key
+  double retry_budget_base;   // retries in each window
+  double retry_budget_ratio;  // further retries for each request in the window
+  Micros retry_budget_window;
 };
 
+// One node in a node list.
 struct NodeEntry {
-  int node;               // small index, the same for one name as long as the head lives
-  std::string_view name;  // only its order among the names counts
+  int node;               // small index, fixed for one name while the head runs
+  std::string_view name;  // only its sort order matters
   NodeState state;
-  int shard, zone;
-  double share;
+  int shard;
+  int zone;
+  double share;     // relative size
   Micros up_since;  // 0: long ago
 };
 
+// A block I/O as the client asked for it.
 struct BlockIo {
-  std::uint64_t id, object;  // object: stable hash of the key, 0: none
-  Micros give_up_at;
-  int group, plan, volume, shard;  // shard -1: a new object
-  int units, heads;
+  std::uint64_t id;
+  std::uint64_t object;  // stable hash of the object's key; 0: none
+  Micros give_up_at;     // the client's deadline
+  int group;
+  int plan;
+  int volume;
+  int shard;  // -1: a new object
+  int units;
+  int heads;  // that the volume is attached to
 };
 
-// Values a node may tell of itself; negative: not told.
+// Load figures that a node may report; negative: not reported.
 struct LoadReport {
-  double outstanding = -1, backlog = -1, utilization = -1;
+  double outstanding = -1;
+  double backlog = -1;
+  double utilization = -1;
   Micros recent = -1;
 };
 
-struct Answer {
+// The outcome of one submit.
+struct SubmitOutcome {
   std::uint64_t id;
-  int submit, node;
+  int submit;
+  int node;
   Result result;
-  bool over;
-  Micros lag;
-  int volume_use, from_others;
+  bool over;        // the client has its final answer
+  Micros lag;       // from sending to the answer
+  int volume_use;   // use of the volume over all heads, 1 + percent of its nominal rate; 0: not reported
+  int from_others;  // units that other heads sent for the volume since the last answer
   LoadReport report;
 };
 
-// What a head asks of its surroundings; called from within Head's functions.
-class Surroundings {
+// The actions a Head requests from the process around it; called from within Head's functions.
+class HeadEnvironment {
  public:
-  virtual ~Surroundings() = default;
+  virtual ~HeadEnvironment() = default;
+  // Sends the block I/O to a node; the submit may take `try_for` at most.
   virtual void submit(std::uint64_t id, int node, Micros try_for) = 0;
-  virtual void shed(std::uint64_t id, Micros come_back_after, GiveUp why) = 0;
-  virtual void fail(std::uint64_t id, GiveUp why) = 0;
+  // Refuses the block I/O with the promise that it had no effect, or may be repeated.
+  virtual void shed(std::uint64_t id, Micros come_back_after, RejectionReason why) = 0;
+  // Ends the block I/O with an error that leaves open whether it had an effect.
+  virtual void fail(std::uint64_t id, RejectionReason why) = 0;
   virtual void cancel(std::uint64_t id, int submit) = 0;
-  virtual void wake(std::uint64_t token, Micros from_now) = 0;
+  // Asks for Head::on_timer(token) after a delay.
+  virtual void set_timer(std::uint64_t token, Micros from_now) = 0;
   virtual void fetch_list() = 0;
+  // Subscribes to the node list, or renews the subscription.
   virtual void watch_list() = 0;
   virtual void probe(int node) = 0;
-  virtual void note(std::string_view text) = 0;
+  virtual void log_note(std::string_view text) = 0;
 };
 
+// The scheduler of one head. For each moment the caller calls set_time(), then the events in their order,
+// then run_scheduler() once. Instances share nothing; calls must not overlap.
 class Head {
  public:
-  Head(const Provisioning& given, Surroundings& out, Micros now);
+  Head(const Provisioning& given, HeadEnvironment& environment, Micros now);
   ~Head();
-  void at(Micros now);  // the clock, before the calls of that moment
-  void listed(ListKind kind, std::span<const NodeEntry> entries);
-  // Other plans while it serves. A plan's index keeps its meaning; there are never fewer of them.
-  void planned(std::span<const Plan> plans);
-  void take(const BlockIo& bio);
-  // Asked again as the first byte of a submit is about to leave: what held when it was decided may not hold
-  // any more. A denied submit ends as Result::not_sent.
-  Denial may_begin(std::uint64_t id, int submit) const;
-  void stream_started(std::uint64_t id, int submit);
-  void answered(const Answer& answer);
-  void probed(int node, Result result, Micros lag, const LoadReport& report);
-  void client_left(std::uint64_t id);
-  void woke(std::uint64_t token);
-  // Whether a small index may now stand for another name: a node gone from the list that nothing in hand has
-  // been sent to, a volume long unused. What was learned of it is dropped.
+  // Sets the clock; comes before the other calls of the same moment.
+  void set_time(Micros now);
+  // Applies a node list, or notes that it could not be fetched.
+  void update_node_list(ListKind kind, std::span<const NodeEntry> entries);
+  // Replaces the plans at run time. A plan's index keeps its meaning, and there are never fewer plans.
+  void update_plans(std::span<const Plan> plans);
+  // Queues a new block I/O; it is sent or rejected by run_scheduler() or on_timer().
+  void enqueue(const BlockIo& bio);
+  // Checks a submit again as its first byte is about to be sent, because a connection may take long to open
+  // and the conditions may have changed since the decision. A denied submit ends as Result::not_sent.
+  DenialReason may_begin(std::uint64_t id, int submit) const;
+  // The answer's stream has begun: the deadline no longer applies.
+  void on_stream_started(std::uint64_t id, int submit);
+  void on_submit_result(const SubmitOutcome& outcome);
+  void on_probe_result(int node, Result result, Micros lag, const LoadReport& report);
+  void on_client_disconnected(std::uint64_t id);
+  void on_timer(std::uint64_t token);
+  // Whether a small index may be reused for another name: a node that has left the list and has no submit of
+  // an active block I/O, a volume that has long been unused. If so, its state is cleared.
   bool forget_node(int node);
   bool forget_volume(int volume);
-  // A new object's default node under the present list and plan; -1: none.
-  int home(std::uint64_t object, int plan) const;
+  // The default node of a new object under the current list and plan; -1: none.
+  int default_node(std::uint64_t object, int plan) const;
+  // The number of entries kept in memory, by kind.
   struct Footprint {
-    std::size_t in_hand, held, nodes, volumes, lines, marks;
-    double calm;  // 1: answers show no wait; towards 0: they do
+    std::size_t active;  // block I/Os
+    std::size_t queued;  // of them, not sent yet
+    std::size_t nodes;
+    std::size_t volumes;
+    std::size_t key_queues;
+    std::size_t timestamps;  // and other short-lived records
+    double headroom;         // 1: answers show no queueing; towards 0: they do
   };
-  Footprint footprint() const;  // what is kept in memory, counted
-  void settle();                // once after the calls of one moment: this is where the held ones leave
+  Footprint footprint() const;
+  // Sends, keeps or rejects the queued block I/Os; once after the calls of one moment.
+  void run_scheduler();
 
  private:
-  class Desk;
-  std::unique_ptr<Desk> desk_;
+  class Scheduler;
+  std::unique_ptr<Scheduler> scheduler_;
 };
 
 }  // namespace yewmount
--- a/src/settings/head.cpp
+++ b/src/settings/head.cpp
@@ -68,21 +68,22 @@
     IoGroup group{
         .latency_goal = g.ms("latency_goal_ms", 0),
         .hard_limit = g.ms("hard_limit_ms", 0),
-        .memory_span = g.ms("memory_span_ms", 0),
-        .goal_stretch = g.get("goal_stretch", 0.0),
+        .dedup_window = g.ms("memory_span_ms", 0),
+        .goal_service_multiple = g.get("goal_stretch", 0.0),
         .gain = g.get("gain", 1.0),
-        .late_part = g.get("late_part", 0.0),
-        .repeat = word<Repeat>(g, "repeat",
-                               {{"idempotent", Repeat::idempotent},
-                                {"fingerprinted", Repeat::fingerprinted},
-                                {"side-effecting", Repeat::side_effecting}},
-                               Repeat::side_effecting),
-        .scope = word<Scope>(g, "scope", {{"all", Scope::all}, {"zone", Scope::zone}, {"cell", Scope::cell}},
-                             Scope::all),
+        .late_gain_factor = g.get("late_part", 0.0),
+        .repeat = word<RepeatSafety>(g, "repeat",
+                                     {{"idempotent", RepeatSafety::idempotent},
+                                      {"fingerprinted", RepeatSafety::fingerprinted},
+                                      {"side-effecting", RepeatSafety::side_effecting}},
+                                     RepeatSafety::side_effecting),
+        .scope = word<DedupScope>(
+            g, "scope", {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}},
+            DedupScope::all),
         .streams = false,
         .keeps_order = g.get("keeps_order", false)};
     if (group.hard_limit < group.latency_goal) g["hard_limit_ms"].bad("shorter than the latency goal");
-    if (group.repeat == Repeat::fingerprinted && group.memory_span == 0)
+    if (group.repeat == RepeatSafety::fingerprinted && group.dedup_window == 0)
       g.bad("a fingerprinted I/O group needs memory_span_ms");
     h.rules.groups.push_back(group);
   }
@@ -101,7 +102,7 @@
               .weight = p.get("weight", 1.0),
               .gain_factor = p.get("gain_factor", 1.0)};
     // What is left of a store's part must hold one block I/O at each head, or none would ever leave.
-    if (plan.limit > 0 && plan.burst < 2 * h.rules.most_units)
+    if (plan.limit > 0 && plan.burst < 2 * h.rules.max_units)
       p.bad("a limit's burst must hold two of the largest block I/Os at least");
     h.rules.plans.push_back(plan);
   }
@@ -122,7 +123,7 @@
 
 int HeadProvision::units_for(std::uint64_t bytes) const {
   const std::uint64_t units = (bytes + unit_bytes - 1) / unit_bytes;
-  return static_cast<int>(std::clamp<std::uint64_t>(units, 1, static_cast<std::uint64_t>(rules.most_units)));
+  return static_cast<int>(std::clamp<std::uint64_t>(units, 1, static_cast<std::uint64_t>(rules.max_units)));
 }
 
 HeadProvision load_head(const std::string& path) {
@@ -165,38 +166,38 @@
   r.heads = top.get("heads", 1);
   r.own_number = top.get("own_number", 0);
   if (r.own_number >= r.heads) top["own_number"].bad("must be below the number of heads");
-  r.cold_bears = nodes.get("cold_bears", 0.0);
-  r.usual_units = nodes.get("usual_units", 1.0);
-  r.most_units = nodes.get("most_units", 1);
-  if (r.usual_units > r.most_units) nodes["usual_units"].bad("more than most_units");
-  h.extent_bytes = h.unit_bytes * static_cast<std::uint32_t>(r.most_units);
+  r.cold_capacity_units = nodes.get("cold_bears", 0.0);
+  r.typical_units = nodes.get("usual_units", 1.0);
+  r.max_units = nodes.get("most_units", 1);
+  if (r.typical_units > r.max_units) nodes["usual_units"].bad("more than most_units");
+  h.extent_bytes = h.unit_bytes * static_cast<std::uint32_t>(r.max_units);
   if (h.extent_bytes > 8u << 20) nodes["most_units"].bad("an extent would be larger than 8 MiB");
-  r.share_gain = nodes.get("share_gain", 0.35);
-  r.beyond_gain = nodes.get("beyond_gain", 0.08);
+  r.share_gain_factor = nodes.get("share_gain", 0.35);
+  r.excess_gain_factor = nodes.get("beyond_gain", 0.08);
   r.meter_period = nodes.ms("meter_ms", 0);
-  r.tells_elsewhere = nodes.get("tells_elsewhere", false);
-  r.sizes_told = nodes.get("sizes_told", false);
-  r.list_asked = true;
-  r.ask_every = top["list"].ms("ask_every_ms", 10000);
-  r.may_copy = false;
+  r.reports_other_heads = nodes.get("tells_elsewhere", false);
+  r.has_node_sizes = nodes.get("sizes_told", false);
+  r.polls_list = true;
+  r.list_poll_interval = top["list"].ms("ask_every_ms", 10000);
+  r.may_duplicate = false;
   r.may_cancel = true;
   r.may_probe = allowed.get("probes", false);
-  r.takes_advice = allowed.get("advice", true);
-  r.longest_advice = allowed.ms("longest_advice_ms", 500);
-  r.most_submits = allowed.get("most_submits", 3);
+  r.may_advise_retry = allowed.get("advice", true);
+  r.max_retry_advice = allowed.ms("longest_advice_ms", 500);
+  r.max_submits = allowed.get("most_submits", 3);
   r.answer_slack = rules.ms("answer_slack_ms", 50);
-  r.cold_from = rules.get("cold_from", 1.0);
-  r.fall_multiple = rules.get("fall_multiple", 1.0);
-  r.warm_within = rules.ms("warm_within_ms", 0);
-  r.overload_for = rules.ms("overload_for_ms", 0);
-  r.turn_rest = rules.has("turn_rest_ms") ? rules.ms("turn_rest_ms", 0) : -1;
-  r.budget_spare = r.budget_share = -1;
-  r.budget_span = -1;
+  r.cold_speed_factor = rules.get("cold_from", 1.0);
+  r.overload_multiple = rules.get("fall_multiple", 1.0);
+  r.warmup_time = rules.ms("warm_within_ms", 0);
+  r.overload_window = rules.ms("overload_for_ms", 0);
+  r.order_gap = rules.has("turn_rest_ms") ? rules.ms("turn_rest_ms", 0) : -1;
+  r.retry_budget_base = r.retry_budget_ratio = -1;
+  r.retry_budget_window = -1;
   if (rules.has("budget")) {
     const Place b = rules["budget"];
-    r.budget_spare = b.get("spare", 0.0);
-    r.budget_share = b.get("share", 0.0);
-    r.budget_span = b.ms("span_ms", 0);
+    r.retry_budget_base = b.get("spare", 0.0);
+    r.retry_budget_ratio = b.get("share", 0.0);
+    r.retry_budget_window = b.ms("span_ms", 0);
   }
   groups(top["groups"], h);
   const std::vector<std::string> plan_names = plans(top["plans"], h);
@@ -229,7 +230,7 @@
                .rest = s.ms("rest_ms", 500),
                .between = s.ms("pause_between_ms", 60'000),
                .cursor = s.text("cursor")};
-    if (r.groups[h.scrub.group].repeat != Repeat::idempotent)
+    if (r.groups[h.scrub.group].repeat != RepeatSafety::idempotent)
       s["group"].bad("scrubbing reads: an idempotent I/O group");
   }
   for (const char* key : {"name", "heads", "own_number", "seed", "listen", "list", "catalogue", "carrier",
--- a/src/solver/model.cpp
+++ b/src/solver/model.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <numeric>
 
-#include "rules/slab.h"
+#include "rules/containers.h"
 
 namespace yewmount::solver {
 namespace {
--- a/tests/benchlink/bad_input.sh
+++ b/tests/benchlink/bad_input.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The adapter's door: what it cannot take ends it with one plain line and a non-zero exit.
+# Malformed input ends the adapter with one line of error text and a non-zero exit status.
 link=$1
 bad() {
   said=$(printf '%b' "$1" | "$link" 2>&1 >/dev/null) && { echo "accepted: $1"; exit 1; }
--- a/tests/carrier/carrier_test.cpp
+++ b/tests/carrier/carrier_test.cpp
@@ -22,8 +22,8 @@
   };
   std::vector<One> all;
   int probes = 0;
-  Denial denial = Denial::none;
-  Denial may_begin(std::uint64_t, int) override { return denial; }
+  DenialReason denial = DenialReason::none;
+  DenialReason may_begin(std::uint64_t, int) override { return denial; }
   void submit_ended(const carrier::Ended& e) override {
     all.push_back({e.id, e.no, e.result, std::string(e.data)});
   }
@@ -110,7 +110,7 @@
   submit(1);
   ASSERT_TRUE(run_until(
       io, [&] { return !peer.conns.empty(); }, [&] { turn(); }, 1000));
-  heard.denial = Denial::memory_over;
+  heard.denial = DenialReason::memory_over;
   peer.conns.front()->hello("n0");
   ASSERT_TRUE(until(1));
   EXPECT_EQ(heard.all[0].result, Result::not_sent);
--- a/tests/relay/nodes_test.cpp
+++ b/tests/relay/nodes_test.cpp
@@ -26,8 +26,8 @@
                 }};
   nodes::Nodes nodes{io, {2, 1, 250'000, 15'000'000, 1000, 2000}, *this};
 
-  Denial denial = Denial::none;
-  Denial may_begin(std::uint64_t, int) override { return denial; }
+  DenialReason denial = DenialReason::none;
+  DenialReason may_begin(std::uint64_t, int) override { return denial; }
   void submit_ended(const nodes::Ended& e) override {
     ends.push_back({e.id, e.result, std::string(e.value)});
   }
--- a/tests/settings/head_test.cpp
+++ b/tests/settings/head_test.cpp
@@ -50,7 +50,7 @@
   const std::string path = std::filesystem::temp_directory_path() / "yewmount-good.json";
   ASSERT_EQ(write_file(path, good().dump()), "");
   const settings::HeadProvision h = settings::load_head(path);
-  EXPECT_EQ(h.rules.groups.at(1).repeat, Repeat::side_effecting);
+  EXPECT_EQ(h.rules.groups.at(1).repeat, RepeatSafety::side_effecting);
   EXPECT_EQ(h.rules.groups.at(0).latency_goal, 300'000);
   EXPECT_EQ(h.extent_bytes, 6u * 4096);
   EXPECT_EQ(h.group_for("v1", settings::Method::get, 100), 0);
@@ -59,7 +59,7 @@
   EXPECT_EQ(h.units_for(0), 1);
   EXPECT_EQ(h.units_for(4097), 2);
   EXPECT_EQ(h.volumes.at("v1").heads, 2);
-  EXPECT_LT(h.rules.budget_span, 0);
+  EXPECT_LT(h.rules.retry_budget_window, 0);
 }
 
 TEST(HeadSettings, BadOnesSayWhereAndWhy) {
