--- a/src/head/scrubbing.cpp
+++ b/src/head/scrubbing.cpp
@@ -20,7 +20,7 @@
   const settings::ScrubSettings& s = given_.scrub;
   if (s.group < 0) return;
   background::Options p;
-  const double burst = 2.0 * given_.rules.most_units;
+  const double burst = 2.0 * given_.rules.max_units;
   p.class_budgets.fill({s.units_per_second, burst});
   p.total_budget = {s.units_per_second, burst};
   p.min_calm = s.calm_from;
@@ -64,7 +64,7 @@
 
 void Daemon::scrub_turn(Micros now) {
   Scrub& s = *scrub_;
-  s.scheduler.report_foreground(now, rules_->footprint().calm);
+  s.scheduler.report_foreground(now, rules_->footprint().headroom);
   if (now < s.next_round) return;
   s.scheduler.set_demand(now, background::TaskClass::scrub, true);
   const bool starved = s.scheduler.is_starved(now, background::TaskClass::scrub);
--- a/tests/settings/head_settings_test.cpp
+++ b/tests/settings/head_settings_test.cpp
@@ -52,7 +52,7 @@
   const std::string path = std::filesystem::temp_directory_path() / "yewmount-good.json";
   ASSERT_EQ(write_file(path, valid_settings().dump()), "");
   const settings::HeadSettings head = settings::load_head_settings(path);
-  EXPECT_EQ(head.rules.groups.at(1).repeat, Repeat::side_effecting);
+  EXPECT_EQ(head.rules.groups.at(1).repeat, RepeatSafety::side_effecting);
   EXPECT_EQ(head.rules.groups.at(0).latency_goal, 300'000);
   EXPECT_EQ(head.extent_bytes, 6u * 4096);
   EXPECT_EQ(head.group_for("v1", settings::Method::get, 100), 0);
@@ -61,7 +61,7 @@
   EXPECT_EQ(head.units_for(0), 1);
   EXPECT_EQ(head.units_for(4097), 2);
   EXPECT_EQ(head.volumes.at("v1").heads, 2);
-  EXPECT_LT(head.rules.budget_span, 0);
+  EXPECT_LT(head.rules.retry_budget_window, 0);
 }
 
 TEST(HeadSettings, RefusesInvalidSettingsWithPlaceAndReason) {
