--- a/src/carrier/carrier.cpp
+++ b/src/carrier/carrier.cpp
@@ -73,19 +73,19 @@
   const Peer& peer = peers_[line.node];
   line.socket = std::make_shared<asio::ip::tcp::socket>(io_);
   auto socket = line.socket;
-  socket->async_connect({net::parse_loopback_address(peer.at.address), peer.at.port},
-                        [this, at, socket, alive = alive_](std::error_code error) {
-                          if (!*alive || lines_[at].socket != socket) return;
-                          Line& line = lines_[at];
-                          if (error) return line_gone(at, error.message());
-                          line.socket.reset();
-                          line.link = std::make_shared<net::Link>(std::move(*socket), *this);
-                          line.link->number = at;
-                          wire::encode(line.link->out(),
-                                       wire::Hello{wire::Role::head, given_.head_name, -1, 0});
-                          line.link->start();
-                          line.link->flush();
-                        });
+  socket->async_connect(
+      {net::parse_loopback_address(peer.at.address), peer.at.port},
+      [this, at, socket, alive = alive_](std::error_code error) {
+        if (!*alive || lines_[at].socket != socket) return;
+        Line& line = lines_[at];
+        if (error) return line_gone(at, error.message());
+        line.socket.reset();
+        line.link = std::make_shared<net::Link>(std::move(*socket), *this);
+        line.link->number = at;
+        wire::encode(line.link->out(), wire::Hello{wire::Role::head, given_.head_name, -1, 0});
+        line.link->start();
+        line.link->flush();
+      });
 }
 
 // The frame leaves only once the node has said who it is: what was meant for another node, or another
@@ -324,7 +324,7 @@
       if (hello.role != wire::Role::node || hello.name != wanted.name ||
           (wanted.start && hello.incarnation != wanted.start))
         throw wire::MalformedFrame("'" + std::string(hello.name) + "' answers where '" + wanted.name +
-                              "' or its present start was looked for");
+                                   "' or its present start was looked for");
       line.greeted = true;
       for (int o : live_)
         if (outs_[o].line == at && !outs_[o].sent) hand(o);
--- a/src/members/members.cpp
+++ b/src/members/members.cpp
@@ -132,11 +132,11 @@
     if (!e.is_object()) throw BadInput("a node is an object");
     Read r{get<std::string>(e, "id"), {}};
     const std::string state = get<std::string>(e, "state");
-    r.known.state =
-        provision::parse_enum(state,
-                        {std::pair{"Ready", NodeState::ready}, std::pair{"Terminating", NodeState::draining},
-                         std::pair{"Gone", NodeState::gone}},
-                        "state");
+    r.known.state = provision::parse_enum(
+        state,
+        {std::pair{"Ready", NodeState::ready}, std::pair{"Terminating", NodeState::draining},
+         std::pair{"Gone", NodeState::gone}},
+        "state");
     if (r.known.state != NodeState::gone) r.known.at = endpoint(get<std::string>(e, "addr"));
     r.known.zone = get_or<std::string>(e, "zone", "");
     r.known.shard = static_cast<int>(bounded(e, "cell", -1, -1, kMostCell));
--- a/src/nodes/nodes.h
+++ b/src/nodes/nodes.h
@@ -73,7 +73,7 @@
 
 struct Counts {
   std::uint64_t opened = 0, connections_lost = 0, spoilt = 0, strays = 0, doubled_up = 0, no_room = 0;
-  std::array<std::uint64_t, kClosed.size()> closed = {};   // by Closed
+  std::array<std::uint64_t, kClosed.size()> closed = {};             // by Closed
   std::array<std::uint64_t, kDenialReasonNames.size()> denied = {};  // by DenialReason
 };
 
