--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -41,12 +41,13 @@
 
 # The platform's protocol: one more way in and out.
 yewmount_package(resp SOURCES src/resp/resp.cpp)
-yewmount_package(callers SOURCES src/callers/callers.cpp USES yewmount_net yewmount_resp yewmount_base)
+yewmount_package(client_sessions SOURCES src/client_sessions/client_sessions.cpp
+                 USES yewmount_net yewmount_resp yewmount_base)
 yewmount_package(nodes SOURCES src/nodes/nodes.cpp
                  USES yewmount_net yewmount_resp yewmount_base yewmount_provision)
 yewmount_package(members SOURCES src/members/members.cpp
                  USES yewmount_net yewmount_base yewmount_provision http_parser)
-yewmount_package(relay SOURCES src/relay/relay.cpp USES yewmount_callers yewmount_nodes yewmount_members
+yewmount_package(relay SOURCES src/relay/relay.cpp USES yewmount_client_sessions yewmount_nodes yewmount_members
                  yewmount_settings)
 
 function(yewmount_program name)
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -29,7 +29,8 @@
                src/relay/relay.cpp)
 target_compile_definitions(yewmountd-planted PRIVATE YEWMOUNT_PLANTED_FAULT)
 target_link_libraries(yewmountd-planted PRIVATE yewmount_carrier yewmount_list yewmount_catalogue yewmount_door
-                      yewmount_settings yewmount_plans yewmount_sums yewmount_background yewmount_callers yewmount_nodes
+                      yewmount_settings yewmount_plans yewmount_sums yewmount_background yewmount_client_sessions
+                      yewmount_nodes
                       yewmount_members CLI11::CLI11)
 set_target_properties(yewmountd-planted PROPERTIES EXCLUDE_FROM_ALL OFF)
 add_test(NAME planted_fault_is_caught COMMAND ${CMAKE_SOURCE_DIR}/tests/judge/planted.sh ${CMAKE_BINARY_DIR}
--- /dev/null
+++ b/src/client_sessions/client_sessions.cpp
@@ -0,0 +1,483 @@
+#include "client_sessions/client_sessions.h"
+
+#include <algorithm>
+#include <optional>
+
+#include "base/base.h"
+
+namespace yewmount::client_sessions {
+namespace {
+
+constexpr Micros kSecondUs = 1'000'000;
+// These protect the head's descriptors and memory from clients that send nothing, leave a command incomplete
+// or do not read their answers. The cost: a client that needs longer than kCommandTimeoutUs to send a single
+// command is cut off.
+constexpr Micros kCommandTimeoutUs = 2 * kSecondUs;
+constexpr Micros kStalledTimeoutUs = 5 * kSecondUs;
+constexpr Micros kIdleTimeoutUs = 20 * kSecondUs;
+constexpr Micros kLingerTimeoutUs = kSecondUs / 2;
+// Limits of one connection. At the first two, further commands wait; above the third, reading pauses.
+constexpr std::size_t kMaxOpenCommands = 32;               // commands whose answers have not been sent
+constexpr std::size_t kMaxPendingOutputBytes = 256 << 10;  // bytes that the socket has not accepted
+constexpr std::size_t kMaxQueuedBytes = 256 << 10;         // bytes of waiting commands
+// Descriptors beyond the limit on connections. Lingering connections are closed first, and new connections
+// wait shortly for a session.
+constexpr std::size_t kMaxExtraLingering = 6;
+constexpr std::size_t kMaxWaitingConnections = 6;
+constexpr Micros kSessionWaitTimeoutUs = kSecondUs / 2;
+// Input that is read more than this after the loop was last caught up is taken to have arrived at that time:
+// the process was paused or is overloaded.
+constexpr Micros kMaxReadDelayUs = 20'000;
+
+}  // namespace
+
+// The connection of one client.
+class ClientSessions::Session : public net::Stream {
+ public:
+  // `unread_since` is when bytes may have begun to wait in the socket, or 0 if none do.
+  Session(asio::ip::tcp::socket socket, ClientSessions& owner, int index, std::uint64_t connection_id,
+          Micros unread_since)
+      : Stream(std::move(socket)),
+        owner_(owner),
+        index_(index),
+        connection_id_(connection_id),
+        unread_since_(unread_since) {}
+
+  std::uint64_t connection_id() const { return connection_id_; }
+  // Whether the session is between commands.
+  bool is_idle() const { return answers_.empty() && input_.empty() && pending_bytes() == 0; }
+  bool has_sent_command() const { return has_sent_command_; }
+  std::size_t unanswered_count() const {
+    return static_cast<std::size_t>(std::ranges::count(answers_, false, &Answer::is_known));
+  }
+  Micros last_used_at() const { return last_used_at_; }
+
+  // Returns false if the command has its answer already.
+  bool answer(std::uint64_t sequence, std::string_view bytes) {
+    if (sequence < first_sequence_ || sequence - first_sequence_ >= answers_.size() ||
+        answers_[sequence - first_sequence_].is_known)
+      return false;
+    Answer& entry = answers_[sequence - first_sequence_];
+    entry.is_known = true;
+    if (sequence != first_sequence_) {
+      entry.bytes = bytes;
+      return true;
+    }
+    out() += bytes;
+    std::size_t count = 1;
+    for (; count < answers_.size() && answers_[count].is_known; ++count) out() += answers_[count].bytes;
+    answers_.erase(answers_.begin(), answers_.begin() + static_cast<std::ptrdiff_t>(count));
+    first_sequence_ += count;
+    last_used_at_ = monotonic_now();
+    return true;
+  }
+
+  // Answers malformed input with an error line, after the answers to earlier commands, and ignores all
+  // further input.
+  void reject_input(std::string_view why) {
+    ++owner_.counts_.unreadable;
+    input_rejected_ = true;
+    discard_input();
+    std::string line = "-ERR ";
+    append_answer((line += why) += "\r\n");
+    owner_.unflushed_.push_back(command_id(0));
+  }
+
+  // Resets `unread_since_` if no bytes have arrived since.
+  void reset_unread_since_if_empty() {
+    if (unread_since_ > 0 && !has_unread_input()) unread_since_ = 0;
+  }
+
+  // Continues with commands that had to wait because of a limit.
+  void resume() {
+    if (input_rejected_ || peer_eof_seen_ || !at_limit_) return;
+    handle_input({}, monotonic_now());
+  }
+
+  void flush_output() {
+    if (!open()) return;
+    flush();
+    if (open()) on_write_progress();
+  }
+
+  // Returns the reason for closing the session if one of its time limits has passed. Answers a command that
+  // stays incomplete for too long with an error line.
+  std::optional<CloseReason> check_timeouts(Micros now) {
+    if (pending_bytes() == 0) last_write_progress_at_ = now;
+    if (bytes_written() != last_bytes_written_) {
+      last_bytes_written_ = bytes_written();
+      last_write_progress_at_ = now;
+    }
+    if (now - last_write_progress_at_ > kStalledTimeoutUs) return CloseReason::stalled;
+    // While reading is paused, the end of the stream behind unread input is noticed only here.
+    if (reading_paused_ && !peer_eof_seen_ && has_peer_closed()) on_peer_eof();
+    if (input_rejected_ || !answers_.empty()) return {};
+    if (!input_.empty() && !at_limit_ && now - partial_since_ > kCommandTimeoutUs) {
+      reject_input("a command that doesn't end");
+      return {};
+    }
+    const bool is_silent = has_sent_command_ ? is_idle() && now - last_used_at_ > kIdleTimeoutUs
+                                             : now - opened_at_ > kCommandTimeoutUs;
+    if (!is_silent || (is_idle() && has_unread_input())) return {};
+    return CloseReason::silent;
+  }
+
+  // Answers complete commands that were waiting and will not run with -BUSY, which tells the client that they
+  // have not run.
+  void reject_queued_commands() {
+    for (std::string_view all = input_; !input_rejected_ && !all.empty();) {
+      resp::Command command;
+      if (resp::parse(all, command) != resp::ParseStatus::complete) break;
+      all.remove_prefix(command.bytes);
+      append_answer("-BUSY\r\n");
+    }
+    discard_input();
+  }
+
+  // Reports each unanswered command to the handler as half-closed.
+  void report_half_close() {
+    std::vector<CommandId> unanswered;  // a copy: the handler may answer, which changes answers_
+    for (std::size_t i = 0; i < answers_.size(); ++i)
+      if (!answers_[i].is_known) unanswered.push_back(command_id(first_sequence_ + i));
+    for (const CommandId& id : unanswered) owner_.handler_.on_half_close(id);
+  }
+
+  // Drops all commands of a closed session and calls `on_unanswered` for each that has no answer.
+  template <class OnUnanswered>
+  void drop_commands(OnUnanswered on_unanswered) {
+    for (std::size_t i = 0; i < answers_.size(); ++i)
+      if (!answers_[i].is_known) on_unanswered(command_id(first_sequence_ + i));
+    answers_.clear();
+    discard_input();
+  }
+
+ private:
+  struct Answer {
+    bool is_known = false;
+    std::string bytes;  // kept until all earlier commands are answered
+  };
+
+  CommandId command_id(std::uint64_t sequence) const { return {index_, connection_id_, sequence}; }
+  std::span<char> read_buffer() override { return net::shared_read_buffer(); }
+  void on_error(const std::error_code&) override { owner_.close_session(index_, CloseReason::broken); }
+
+  // Adds a command with a given answer at the end.
+  void append_answer(std::string_view line) {
+    answers_.emplace_back();
+    answer(first_sequence_ + answers_.size() - 1, line);
+  }
+
+  void discard_input() {
+    input_ = {};
+    input_parts_.clear();
+    update_queued_bytes();
+  }
+
+  // Updates the owner's total of bytes of waiting commands.
+  void update_queued_bytes() {
+    const std::size_t now = at_limit_ ? input_.size() : 0;
+    owner_.queued_bytes_ += now - counted_bytes_;
+    counted_bytes_ = now;
+  }
+
+  // The client has closed the connection or only its sending side; the two cannot be told apart here. Waiting
+  // commands are rejected, and running ones are still answered, since the client may read on. The handler is
+  // told one loop iteration later, so that a command that arrived together with the end may still begin.
+  bool on_peer_eof() override {
+    ++owner_.counts_.half_closed;
+    peer_eof_seen_ = true;
+    reject_queued_commands();
+    owner_.new_half_closed_.push_back(command_id(0));
+    owner_.unflushed_.push_back(command_id(0));
+    return true;
+  }
+
+  // Closes the session after its last answer, or lets commands continue that waited for pending output.
+  void on_write_progress() override {
+    if (answers_.empty() && pending_bytes() == 0 && (input_rejected_ || peer_eof_seen_))
+      return owner_.close_session(index_, input_rejected_ ? CloseReason::unreadable : CloseReason::ended);
+    // Frees the memory that a burst of long answers needed.
+    if (pending_bytes() == 0 && out().capacity() > kMaxPendingOutputBytes) out() = {};
+    if (at_limit_ && !is_at_limit()) owner_.resumable_.push_back(command_id(0));
+  }
+
+  bool is_at_limit() const {
+    return answers_.size() >= kMaxOpenCommands || pending_bytes() >= kMaxPendingOutputBytes;
+  }
+
+  void on_read(std::size_t bytes) override {
+    const Micros arrived_at = unread_since_ > 0 ? unread_since_ : owner_.arrival_time();
+    if (bytes < net::kReadBufferBytes) unread_since_ = 0;  // the socket is empty
+    if (!input_rejected_) handle_input({net::shared_read_buffer().data(), bytes}, arrived_at);
+  }
+
+  // An exception ends only the connection whose input caused it.
+  void handle_input(std::string_view bytes, Micros arrived_at) {
+    try {
+      parse_commands(bytes, arrived_at);
+    } catch (const std::exception& e) {
+      logs::warn("connection ended", {{"why", e.what()}});
+      owner_.close_session(index_, CloseReason::exception);
+    }
+  }
+
+  // Passes complete commands to the handler until a limit is reached, and keeps the rest of the input.
+  void parse_commands(std::string_view bytes, Micros arrived_at) {
+    const std::size_t kept_before = input_.size();
+    if (kept_before > 0) input_ += bytes;
+    const std::string_view all = kept_before > 0 ? std::string_view(input_) : bytes;
+    std::size_t used = 0;
+    at_limit_ = false;
+    while (used < all.size()) {
+      if ((at_limit_ = is_at_limit())) break;
+      resp::Command command;
+      const resp::ParseStatus status = resp::parse(all.substr(used), command);
+      if (status == resp::ParseStatus::partial) break;
+      if (status == resp::ParseStatus::malformed) return reject_input(command.why);
+      used += command.bytes;
+      partial_since_ = 0;
+      has_sent_command_ = true;
+      answers_.emplace_back();
+      owner_.handler_.on_command(command_id(first_sequence_ + answers_.size() - 1), command,
+                                 used > kept_before ? arrived_at : input_arrival_time(used));
+    }
+    keep_input(all.substr(used), used, arrived_at);
+    update_queued_bytes();
+    reading_paused_ =
+        at_limit_ && (input_.size() > kMaxQueuedBytes || owner_.queued_bytes_ > owner_.max_queued_bytes_);
+    if (reading_paused_ && unread_since_ == 0) unread_since_ = monotonic_now();
+    if (!reading_paused_) reset_unread_since_if_empty();
+    pause_reading(reading_paused_);
+  }
+
+  // Keeps unparsed input, with the arrival times of its parts. `used` is the number of parsed bytes.
+  void keep_input(std::string_view rest, std::size_t used, Micros arrived_at) {
+    if (rest.empty()) {
+      input_ = {};
+      input_parts_.clear();
+      return;
+    }
+    if (input_.empty())
+      input_ = rest;
+    else
+      input_.erase(0, used);
+    std::erase_if(input_parts_, [&](InputPart& part) {
+      part.end -= std::min(part.end, used);
+      return part.end == 0;
+    });
+    if (input_parts_.empty() || input_parts_.back().end < input_.size())
+      input_parts_.push_back({input_.size(), arrived_at});
+    if (partial_since_ == 0) partial_since_ = monotonic_now();
+  }
+
+  // When the kept input up to position `end` had arrived.
+  Micros input_arrival_time(std::size_t end) const {
+    for (const InputPart& part : input_parts_)
+      if (part.end >= end) return part.arrived_at;
+    return monotonic_now();
+  }
+
+  // A part of input_ that was read at once and ends at `end`.
+  struct InputPart {
+    std::size_t end;
+    Micros arrived_at;
+  };
+
+  ClientSessions& owner_;
+  const int index_;
+  const std::uint64_t connection_id_;
+  std::vector<Answer> answers_;  // of commands, from the first unanswered one on
+  std::uint64_t first_sequence_ = 0;
+  std::uint64_t last_bytes_written_ = 0;
+  std::string input_;  // an incomplete command, or commands that wait because of a limit
+  std::vector<InputPart> input_parts_;
+  std::size_t counted_bytes_ = 0;  // this session's share of the owner's queued_bytes_
+  bool has_sent_command_ = false;
+  bool at_limit_ = false;
+  bool reading_paused_ = false;
+  bool input_rejected_ = false;
+  bool peer_eof_seen_ = false;
+  Micros opened_at_ = monotonic_now();
+  Micros last_used_at_ = opened_at_;
+  Micros last_write_progress_at_ = opened_at_;
+  Micros partial_since_ = 0;  // since when input_ holds unparsed bytes; 0: it does not
+  Micros unread_since_;       // since when bytes may be waiting in the socket; 0: none are
+};
+
+ClientSessions::ClientSessions(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint,
+                               std::size_t max_connections, std::size_t max_queued_bytes,
+                               CommandHandler& handler)
+    : io_(io),
+      max_connections_(max_connections),
+      max_queued_bytes_(max_queued_bytes),
+      handler_(handler),
+      listener_(io, endpoint, [this](asio::ip::tcp::socket socket) { on_accept(std::move(socket)); }) {}
+
+ClientSessions::~ClientSessions() {
+  for (int index : active_) sessions_[index]->close();
+  for (auto& [expires_at, session] : lingering_) session->close();
+}
+
+// A connection for which no session can be freed waits shortly; if too many wait, the oldest is closed.
+void ClientSessions::on_accept(asio::ip::tcp::socket socket) {
+  if (active_.size() < max_connections_ || evict_idle_session())
+    return open_session(std::move(socket), listener_.backlogged_since());
+  if (waiting_connections_.size() >= kMaxWaitingConnections) {
+    ++counts_.rejected_connections;
+    waiting_connections_.pop_front();  // closes the socket
+  }
+  const Micros now = monotonic_now();
+  const Micros backlogged_since = listener_.backlogged_since();
+  waiting_connections_.push_back(
+      {backlogged_since > 0 ? backlogged_since : now, now + kSessionWaitTimeoutUs, std::move(socket)});
+}
+
+void ClientSessions::open_session(asio::ip::tcp::socket socket, Micros unread_since) {
+  const int index = sessions_.allocate();
+  active_.insert(index);
+  sessions_[index] =
+      std::make_shared<Session>(std::move(socket), *this, index, ++last_connection_id_, unread_since);
+  sessions_[index]->reset_unread_since_if_empty();
+  sessions_[index]->start();
+}
+
+// Closes the least recently used idle session, preferring those that never sent a command; returns false if
+// there is none. A session with unread input is not idle. A command that arrives during the close is
+// discarded by the lingering close, and its client connects again.
+bool ClientSessions::evict_idle_session() {
+  std::vector<int> in_use;
+  while (true) {
+    int candidate = -1;
+    for (int index : active_) {
+      const Session& session = *sessions_[index];
+      if (!session.is_idle() ||
+          (candidate >= 0 && sessions_[candidate]->has_sent_command() < session.has_sent_command()))
+        continue;
+      if (std::find(in_use.begin(), in_use.end(), index) != in_use.end()) continue;
+      const bool is_better = candidate < 0 ||
+                             sessions_[candidate]->has_sent_command() > session.has_sent_command() ||
+                             sessions_[candidate]->last_used_at() > session.last_used_at();
+      if (is_better) candidate = index;
+    }
+    if (candidate < 0) return false;
+    if (!sessions_[candidate]->has_unread_input()) {
+      close_session(candidate, CloseReason::evicted);
+      return true;
+    }
+    in_use.push_back(candidate);
+  }
+}
+
+ClientSessions::Session* ClientSessions::find(const CommandId& id) const {
+  if (id.session < 0) return nullptr;
+  Session* session = sessions_[id.session].get();
+  return session && session->connection_id() == id.connection_id ? session : nullptr;
+}
+
+void ClientSessions::answer(const CommandId& id, std::string_view bytes) {
+  if (Session* session = find(id)) {
+    if (!session->answer(id.sequence, bytes)) {
+      ++counts_.duplicate_answers;
+      logs::error("violation: a second answer", {{"connection", id.connection_id}, {"turn", id.sequence}});
+    }
+    unflushed_.push_back(id);
+  }
+}
+
+bool ClientSessions::has_client_closed(const CommandId& id) const {
+  Session* session = find(id);
+  return !session || session->has_peer_closed();
+}
+
+// The time at which input that is read now counts as arrived.
+Micros ClientSessions::arrival_time() const {
+  const Micros now = monotonic_now();
+  return caught_up_at_ > 0 && now - caught_up_at_ > kMaxReadDelayUs ? caught_up_at_ : now;
+}
+
+void ClientSessions::answer_error(const CommandId& id, std::string_view why) {
+  std::string line = "-ERR ";
+  answer(id, (line += why) += "\r\n");
+}
+
+void ClientSessions::run_deferred() {
+  for (const CommandId& id : due_half_closed_)
+    if (Session* session = find(id)) session->report_half_close();
+  due_half_closed_.clear();
+  due_half_closed_.swap(new_half_closed_);
+  resuming_.swap(resumable_);
+  for (const CommandId& id : resuming_)
+    if (Session* session = find(id)) session->resume();
+  resuming_.clear();
+  while (!waiting_connections_.empty() && (active_.size() < max_connections_ || evict_idle_session())) {
+    open_session(std::move(waiting_connections_.front().socket), waiting_connections_.front().unread_since);
+    waiting_connections_.pop_front();
+  }
+}
+
+void ClientSessions::flush() {
+  flushing_.swap(unflushed_);
+  for (const CommandId& id : flushing_)
+    if (Session* session = find(id)) session->flush_output();
+  flushing_.clear();
+}
+
+// Removes a session and tells the handler about its unanswered commands. If the connection is still open, it
+// lingers so that the last answers reach the client.
+void ClientSessions::close_session(int index, CloseReason reason) {
+  const std::shared_ptr<Session> session = std::move(sessions_[index]);
+  const std::size_t unanswered = session->unanswered_count();
+  ++counts_.closed[static_cast<std::size_t>(reason)];
+  if (logs::is_debug_enabled())
+    logs::debug("client closed", {{"connection", session->connection_id()},
+                                  {"why", permits::kCloseReasons[static_cast<std::size_t>(reason)]},
+                                  {"unanswered", unanswered},
+                                  {"pending", session->pending_bytes()}});
+  if (!permits::may_close(reason, unanswered)) {
+    ++counts_.closed_unanswered;
+    logs::error("violation: closed unanswered",
+                {{"connection", session->connection_id()}, {"unanswered", unanswered}});
+  }
+  active_.erase(index);
+  sessions_.release(index);
+  session->drop_commands([&](const CommandId& id) { handler_.on_disconnect(id); });
+  if (!session->open()) return;
+  ++counts_.lingering_closes;
+  lingering_.emplace_back(monotonic_now() + kLingerTimeoutUs, session);
+  session->close_lingering();
+  while (active_.size() + lingering_.size() > max_connections_ + kMaxExtraLingering) {
+    lingering_.front().second->close();
+    lingering_.pop_front();
+  }
+}
+
+void ClientSessions::close_overdue(Micros now) {
+  std::vector<int> indexes(active_.begin(), active_.end());
+  for (int index : indexes)
+    if (const auto reason = sessions_[index]->check_timeouts(now)) close_session(index, *reason);
+  std::erase_if(lingering_, [&](auto& entry) {
+    if (entry.first <= now) entry.second->close();
+    return !entry.second->open();
+  });
+  while (!waiting_connections_.empty() && waiting_connections_.front().expires_at <= now) {
+    ++counts_.rejected_connections;
+    waiting_connections_.pop_front();
+  }
+}
+
+void ClientSessions::close_idle() {
+  std::vector<int> indexes(active_.begin(), active_.end());
+  for (int index : indexes)
+    if (sessions_[index]->is_idle() && !sessions_[index]->has_unread_input())
+      close_session(index, CloseReason::idle);
+}
+
+void ClientSessions::close_all() {
+  std::vector<int> indexes(active_.begin(), active_.end());
+  for (int index : indexes) {
+    sessions_[index]->reject_queued_commands();
+    close_session(index, CloseReason::stopping);
+  }
+}
+
+}  // namespace yewmount::client_sessions
--- a/src/head/main.cpp
+++ b/src/head/main.cpp
@@ -71,18 +71,18 @@
   Signals signals(io, [&](int signal) {
     if (signal != SIGHUP) return relay->drain();
     try {
-      const relay::Deployment given = relay::load(file);
+      const relay::Deployment given = relay::load_deployment(file);
       relay->reload(given);
-      logs::info("settings taken", {{"list", given.members.address().to_string()}});
+      logs::info("settings taken", {{"list", given.discovery.address().to_string()}});
     } catch (const std::exception& e) {
       logs::error("settings turned down", {{"why", e.what()}});
     }
   });
-  relay::Deployment given = relay::load(file);
+  relay::Deployment given = relay::load_deployment(file);
   logs::init("yewmountd", given.name);
   logs::set_level(level);
   relay = std::make_unique<relay::Relay>(io, std::move(given));
-  relay->trace(level == "debug");
+  relay->set_tracing(level == "debug");
   logs::info("serving", {{"port", relay->port()}});
   relay->run();
   logs::info("drained", relay->report());
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -12,56 +12,64 @@
 using nlohmann::json;
 using provision::BadInput;
 
-constexpr Micros kSecond = 1'000'000;
-constexpr Micros kStoodStill =
-    40'000;  // between two turns: counted for operators, acted on by the module alone
-constexpr Micros kTidy = 100'000;
-constexpr Micros kTell = 10 * kSecond;  // between two lines of figures in the log
-// The platform ends a head no sooner after SIGTERM than its longest hard limit, counted as three seconds
-// where it is longer, and 0.7 s more. Until then its clients have no other head.
-constexpr Micros kMostLimit = 3 * kSecond, kGrace = 700'000;
-constexpr Micros kMargin = 200'000;   // before that, the last answer is out
-constexpr Micros kClosing = 400'000;  // before the last answer, connections are ended between commands
-constexpr Micros kVolumeRest = 60 * kSecond;  // a volume unused for longer gives its index back
-constexpr long kLongestWait = 600'000;        // milliseconds that a client may say it waits
-constexpr int kMostHeads = 4096, kMostShard = 1 << 16;
-constexpr std::size_t kSpareSockets = 24;  // of the descriptors: loop, log, listener, list of nodes
-constexpr std::size_t kValuePart = 16, kHeldPart = 4;  // of the memory: for one value, for all that come
-constexpr std::size_t kBodiesPart = 6;                 // and for the commands in hand
-constexpr std::size_t kAheadPart = 12;                 // and for commands that wait behind others
-constexpr double kBeyond = 1e9;                        // of descriptors or megabytes
+constexpr Micros kSecondUs = 1'000'000;
+// Iterations of the loop further apart than this count as a pause of the process, for operators only; the
+// scheduler detects pauses itself. Also the longest wait of one iteration.
+constexpr Micros kPauseThresholdUs = 40'000;
+constexpr Micros kCheckIntervalUs = 100'000;
+constexpr Micros kReportIntervalUs = 10 * kSecondUs;  // between two log lines of counters
+// The platform ends a head after SIGTERM no sooner than its longest hard limit, of which at most 3 s count,
+// plus 0.7 s. Until then its clients have no other head.
+constexpr Micros kMaxHardLimitUs = 3 * kSecondUs;
+constexpr Micros kStopGraceUs = 700'000;
+constexpr Micros kStopMarginUs = 200'000;         // from the last answer to the platform's kill
+constexpr Micros kCloseIdleBeforeUs = 400'000;    // idle connections close this long before the last answer
+constexpr Micros kVolumeIdleUs = 60 * kSecondUs;  // the index of a volume unused for longer is recycled
+constexpr long kMaxWaitMs = 600'000;              // longest wait that a client may ask for
+constexpr int kMaxHeads = 4096;
+constexpr int kMaxShard = 1 << 16;
+// Descriptors kept for the event loop, the log, the listener and the discovery client.
+constexpr std::size_t kReservedDescriptors = 24;
+// Parts of the memory limit, as divisors: one value from a node, all incomplete values from nodes, the
+// commands of active requests, and the commands that wait behind others in their sessions.
+constexpr std::size_t kValueMemoryDivisor = 16;
+constexpr std::size_t kIncompleteValuesMemoryDivisor = 4;
+constexpr std::size_t kActiveMemoryDivisor = 6;
+constexpr std::size_t kQueuedMemoryDivisor = 12;
+constexpr double kMaxLimit = 1e9;  // descriptors or megabytes; more than any machine has
 constexpr std::size_t kHexDigits = 16;
-// A client that closed longer ago than this must not have an attempt begin for it; the operators allow 0.1 s.
-constexpr Micros kGoneWithin = 50'000;
-constexpr Micros kAnswerSlack = 50'000;  // of the protocol, on every time limit
+// No attempt may begin for a client that closed its connection longer ago than this; operators allow 0.1 s.
+constexpr Micros kMaxDisconnectDelayUs = 50'000;
+constexpr Micros kAnswerSlackUs = 50'000;  // that the protocol allows on every time limit
 
+// Returns the counts above 0 under their names.
 template <std::size_t N>
-nlohmann::ordered_json by_name(const std::array<std::string_view, N>& names,
-                               const std::array<std::uint64_t, N>& counts) {
-  nlohmann::ordered_json all = nlohmann::ordered_json::object();
+nlohmann::ordered_json nonzero_counts(const std::array<std::string_view, N>& names,
+                                      const std::array<std::uint64_t, N>& counts) {
+  nlohmann::ordered_json result = nlohmann::ordered_json::object();
   for (std::size_t i = 0; i < N; ++i)
-    if (counts[i] > 0) all[std::string(names[i])] = counts[i];
-  return all;
+    if (counts[i] > 0) result[std::string(names[i])] = counts[i];
+  return result;
 }
 
-std::string hex_text(std::uint64_t value) {
+std::string to_hex(std::uint64_t value) {
   char text[kHexDigits + 1];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(value));
   return text;
 }
 
-bool hex(std::string_view text, std::uint64_t& value) {
+bool parse_hex(std::string_view text, std::uint64_t& value) {
   if (text.size() != kHexDigits) return false;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, 16);
   return error == std::errc() && end == text.data() + text.size() && text[0] != '-';
 }
 
-bool whole(std::string_view text, long least, long most, long& value) {
+bool parse_integer(std::string_view text, long min, long max, long& value) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  return error == std::errc() && end == text.data() + text.size() && value >= least && value <= most;
+  return error == std::errc() && end == text.data() + text.size() && value >= min && value <= max;
 }
 
-std::uint64_t seed_of(const std::string& text) {
+std::uint64_t parse_seed(const std::string& text) {
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (error != std::errc() || end != text.data() + text.size())
@@ -69,255 +77,272 @@
   return seed;
 }
 
-// Of the descriptors: one half lead to nodes, where submits must not wait for one, the other to clients.
-std::size_t half(std::size_t sockets) { return (sockets - kSpareSockets) / 2; }
+// The limit on connections to nodes, and the equal limit on connections of clients. The two don't compete, so
+// that submits never wait for a descriptor that a client holds.
+std::size_t connection_limit(std::size_t max_descriptors) {
+  return (max_descriptors - kReservedDescriptors) / 2;
+}
 
-std::size_t limit(const json& limits, const char* name, std::size_t least) {
+// Returns a field of the platform's limits; throws BadInput if it is below `min` or too large.
+std::size_t read_limit(const json& limits, const char* name, std::size_t min) {
   const double value = provision::get<double>(limits, name);
-  if (value >= static_cast<double>(least) && value <= kBeyond) return static_cast<std::size_t>(value);
-  throw BadInput(std::string("field '") + name + "' is below " + std::to_string(least) +
-                 " or beyond any machine");
+  if (value >= static_cast<double>(min) && value <= kMaxLimit) return static_cast<std::size_t>(value);
+  throw BadInput(std::string("field '") + name + "' is below " + std::to_string(min) + " or too large");
 }
 
 }  // namespace
 
-Deployment load(const std::string& file) {
+Deployment load_deployment(const std::string& file) {
   std::string text;
   if (const std::string why = read_file(file, text); !why.empty()) throw std::runtime_error(why);
-  const json all = settings::parse(text, file);
+  const json config = settings::parse(text, file);
   try {
-    if (!all.is_object()) throw BadInput("not an object");
-    Deployment given;
-    given.name = provision::get<std::string>(all, "name");
-    given.listen = members::endpoint(provision::get<std::string>(all, "listen"));
-    given.members = members::endpoint(provision::get<std::string>(all, "discovery"));
-    const json& limits = provision::require_typed(all, "limits", json::value_t::object);
-    given.sockets = limit(limits, "sockets", 2 * kSpareSockets);
-    given.memory = limit(limits, "memory_mb", 1) << 20;
-    given.known = provision::require_typed(all, "known", json::value_t::object);
-    given.platform =
-        provision::read_platform_settings(provision::require_typed(all, "settings", json::value_t::object),
-                                          seed_of(provision::get<std::string>(all, "seed")));
-    given.platform.head.may_probe = false;  // the protocol has no probe, whatever the settings allow
-    return given;
+    if (!config.is_object()) throw BadInput("not an object");
+    Deployment deployment;
+    deployment.name = provision::get<std::string>(config, "name");
+    deployment.listen = members::endpoint(provision::get<std::string>(config, "listen"));
+    deployment.discovery = members::endpoint(provision::get<std::string>(config, "discovery"));
+    const json& limits = provision::require_typed(config, "limits", json::value_t::object);
+    deployment.max_descriptors = read_limit(limits, "sockets", 2 * kReservedDescriptors);
+    deployment.memory_bytes = read_limit(limits, "memory_mb", 1) << 20;
+    deployment.known_nodes = provision::require_typed(config, "known", json::value_t::object);
+    deployment.platform =
+        provision::read_platform_settings(provision::require_typed(config, "settings", json::value_t::object),
+                                          parse_seed(provision::get<std::string>(config, "seed")));
+    deployment.platform.head.may_probe = false;  // the protocol has no probe, whatever the settings allow
+    return deployment;
   } catch (const std::exception& e) {
     throw std::runtime_error(file + ": " + e.what());
   }
 }
 
-Relay::Relay(asio::io_context& io, Deployment given)
+Relay::Relay(asio::io_context& io, Deployment deployment)
     : io_(io),
-      given_(std::move(given)),
-      callers_(io, given_.listen, half(given_.sockets), given_.memory / kAheadPart, *this),
+      deployment_(std::move(deployment)),
+      sessions_(io, deployment_.listen, connection_limit(deployment_.max_descriptors),
+                deployment_.memory_bytes / kQueuedMemoryDivisor, *this),
       nodes_(io,
-             {given_.platform.streams_per_connection, half(given_.sockets), given_.platform.connect_timeout,
-              given_.platform.idle_timeout, given_.memory / kValuePart, given_.memory / kHeldPart},
+             {deployment_.platform.streams_per_connection, connection_limit(deployment_.max_descriptors),
+              deployment_.platform.connect_timeout, deployment_.platform.idle_timeout,
+              deployment_.memory_bytes / kValueMemoryDivisor,
+              deployment_.memory_bytes / kIncompleteValuesMemoryDivisor},
              *this),
-      members_(io, given_.platform.head.polls_list, given_.platform.head.seed, *this),
+      members_(io, deployment_.platform.head.polls_list, deployment_.platform.head.seed, *this),
       now_(monotonic_now()),
-      rules_(std::make_unique<Head>(given_.platform.head, *this, now_)) {
-  members_.know(given_.known);
-  members_.follow(given_.members);
+      scheduler_(std::make_unique<Head>(deployment_.platform.head, *this, now_)) {
+  members_.know(deployment_.known_nodes);
+  members_.follow(deployment_.discovery);
 }
 
 Relay::~Relay() = default;
 
-Micros Relay::now() {
+// Reads the clock and passes the time to the scheduler.
+Micros Relay::update_clock() {
   now_ = monotonic_now();
-  rules_->set_time(now_);
+  scheduler_->set_time(now_);
   return now_;
 }
 
-// --- the turn ---------------------------------------------------------------------------------------------
+// --- event loop -------------------------------------------------------------------------------------------
 
 void Relay::run() {
   while (true) {
-    const bool caught_up = event_loop::run_handlers(io_, wakes_.next(monotonic_now() + kStoodStill));
-    const Micros began = monotonic_now();
-    if (caught_up) callers_.caught_up(began);
-    turn();
-    counts_.longest_turn = std::max(counts_.longest_turn, monotonic_now() - began);
-    if (gone_at_ == 0 || now_ < gone_at_ - kClosing) continue;
-    if (listening_) {
-      listening_ = false;
-      callers_.stop_listening();
+    const bool caught_up = event_loop::run_handlers(io_, timers_.next(monotonic_now() + kPauseThresholdUs));
+    const Micros started_at = monotonic_now();
+    if (caught_up) sessions_.set_caught_up_at(started_at);
+    run_iteration();
+    counts_.longest_iteration = std::max(counts_.longest_iteration, monotonic_now() - started_at);
+    if (drain_deadline_ == 0 || now_ < drain_deadline_ - kCloseIdleBeforeUs) continue;
+    if (is_listening_) {
+      is_listening_ = false;
+      sessions_.stop_listening();
       continue;
     }
-    callers_.close_idle();
-    if (now_ >= gone_at_) {
-      for (const int at : std::vector<int>(in_hand_.begin(), in_hand_.end())) conclude(at);
-      callers_.close_all();
+    sessions_.close_idle();
+    if (now_ >= drain_deadline_) {
+      for (const int index : std::vector<int>(active_.begin(), active_.end())) abort_request(index);
+      sessions_.close_all();
     }
-    if (callers_.closed() || now_ >= gone_at_ + kMargin / 2) return;
+    if (sessions_.is_closed() || now_ >= drain_deadline_ + kStopMarginUs / 2) return;
   }
 }
 
-void Relay::turn() {
-  now();
-  if (turned_ > 0 && now_ - turned_ > kStoodStill) ++counts_.stood_still;
-  turned_ = now_;
+void Relay::run_iteration() {
+  update_clock();
+  if (last_iteration_at_ > 0 && now_ - last_iteration_at_ > kPauseThresholdUs) ++counts_.pauses;
+  last_iteration_at_ = now_;
   nodes_.deliver(now_);
-  callers_.deliver();
-  wakes_.run_due(now_, [&](std::uint64_t token) { rules_->on_timer(token); });
-  rules_->run_scheduler();
+  sessions_.run_deferred();
+  timers_.run_due(now_, [&](std::uint64_t token) { scheduler_->on_timer(token); });
+  scheduler_->run_scheduler();
   nodes_.flush();
-  callers_.flush();
-  if (now_ - looked_ >= kTidy) {
-    looked_ = now_;
+  sessions_.flush();
+  if (now_ - last_check_at_ >= kCheckIntervalUs) {
+    last_check_at_ = now_;
     members_.check(now_);
-    callers_.sweep(now_);
-    callers_.flush();
+    sessions_.close_overdue(now_);
+    sessions_.flush();
   }
-  if (now_ - swept_ >= kSecond) once_a_second(now_);
+  if (now_ - last_second_at_ >= kSecondUs) run_every_second(now_);
 }
 
-void Relay::once_a_second(Micros now) {
-  swept_ = now;
+void Relay::run_every_second(Micros now) {
+  last_second_at_ = now;
   members_.tidy();
-  volumes_.release_unused(now - kVolumeRest, [&](int index) { return rules_->forget_volume(index); });
-  if (now - told_ < kTell) return;
-  told_ = now;
+  volumes_.release_unused(now - kVolumeIdleUs, [&](int index) { return scheduler_->forget_volume(index); });
+  if (now - last_report_at_ < kReportIntervalUs) return;
+  last_report_at_ = now;
   logs::info("figures", report());
 }
 
 nlohmann::ordered_json Relay::report() const {
-  const callers::Counts& c = callers_.counts();
-  const nodes::Counts& n = nodes_.counts();
-  const Head::Footprint f = rules_->footprint();
-  return {{"taken", counts_.taken},
-          {"ended", counts_.ended},
+  const client_sessions::Counts& session_counts = sessions_.counts();
+  const nodes::Counts& node_counts = nodes_.counts();
+  const Head::Footprint footprint = scheduler_->footprint();
+  return {{"taken", counts_.accepted},
+          {"ended", counts_.completed},
           {"shed", counts_.shed},
           {"failed", counts_.failed},
-          {"left", counts_.left},
-          {"bad", counts_.bad},
-          {"full", counts_.full},
+          {"left", counts_.abandoned},
+          {"bad", counts_.malformed},
+          {"full", counts_.over_memory},
           {"submits", counts_.submits},
-          {"further", counts_.further},
-          {"in_hand", f.active},
-          {"held", f.queued},
-          {"calm", f.headroom},
-          {"clients", callers_.clients()},
-          {"unread", c.unread},
-          {"turned_back", c.turned_back},
-          {"parted", c.parted},
-          {"lingered", c.lingered},
+          {"further", counts_.later_submits},
+          {"in_hand", footprint.active},
+          {"held", footprint.queued},
+          {"calm", footprint.headroom},
+          {"clients", sessions_.size()},
+          {"unread", session_counts.unreadable},
+          {"turned_back", session_counts.rejected_connections},
+          {"parted", session_counts.half_closed},
+          {"lingered", session_counts.lingering_closes},
           {"connections", nodes_.connections()},
-          {"opened", n.opened},
-          {"lost", n.connections_lost},
-          {"spoilt", n.spoilt},
-          {"strays", n.strays},
-          {"doubled_up", n.doubled_up},
-          {"no_room", n.no_room},
-          {"outcomes", by_name(kResultNames, counts_.outcomes)},
-          {"given_up", by_name(kRejectionReasonNames, counts_.given_up)},
-          {"denied", by_name(kDenialReasonNames, n.denied)},
-          {"clients_closed", by_name(permits::kCloseReasons, c.closed)},
-          {"nodes_closed", by_name(nodes::kClosed, n.closed)},
+          {"opened", node_counts.opened},
+          {"lost", node_counts.connections_lost},
+          {"spoilt", node_counts.spoilt},
+          {"strays", node_counts.strays},
+          {"doubled_up", node_counts.doubled_up},
+          {"no_room", node_counts.no_room},
+          {"outcomes", nonzero_counts(kResultNames, counts_.results)},
+          {"given_up", nonzero_counts(kRejectionReasonNames, counts_.rejections)},
+          {"denied", nonzero_counts(kDenialReasonNames, node_counts.denied)},
+          {"clients_closed", nonzero_counts(permits::kCloseReasons, session_counts.closed)},
+          {"nodes_closed", nonzero_counts(nodes::kClosed, node_counts.closed)},
           {"violations",
            {{"late_answers", counts_.violations.late_answers},
-            {"unasked_values", counts_.violations.unasked_values},
-            {"closed_unanswered", c.closed_unanswered},
-            {"answered_again", c.answered_again}}},
+            {"unasked_values", counts_.violations.unexpected_results},
+            {"closed_unanswered", session_counts.closed_unanswered},
+            {"answered_again", session_counts.duplicate_answers}}},
           {"list", members_.version()},
           {"nodes", members_.kept()},
           {"volumes", volumes_.size()},
           {"list_failures", members_.failures()},
-          {"stood_still", counts_.stood_still},
-          {"longest_turn_us", counts_.longest_turn}};
+          {"stood_still", counts_.pauses},
+          {"longest_turn_us", counts_.longest_iteration}};
 }
 
 void Relay::drain() {
-  if (gone_at_ > 0) return;
+  if (drain_deadline_ > 0) return;
   Micros longest = 0;
-  for (const IoGroup& g : given_.platform.head.groups) longest = std::max(longest, g.hard_limit);
-  gone_at_ = monotonic_now() + std::min(longest, kMostLimit) + kGrace - kMargin;
-  logs::info("draining", {{"in_hand", in_hand_.size()}, {"clients", callers_.clients()}});
+  for (const IoGroup& g : deployment_.platform.head.groups) longest = std::max(longest, g.hard_limit);
+  drain_deadline_ = monotonic_now() + std::min(longest, kMaxHardLimitUs) + kStopGraceUs - kStopMarginUs;
+  logs::info("draining", {{"in_hand", active_.size()}, {"clients", sessions_.size()}});
 }
 
-void Relay::reload(const Deployment& given) {
-  now();
-  if (given.listen != given_.listen) logs::warn("the address to listen at changes only with a restart");
-  given_.members = given.members;
-  members_.follow(given.members);
-  // A plan keeps its place in the module: only figures may differ.
-  if (given.platform.plans == given_.platform.plans)
-    rules_->update_plans(given.platform.head.plans);
+void Relay::reload(const Deployment& deployment) {
+  update_clock();
+  if (deployment.listen != deployment_.listen) logs::warn("'listen' changes only with a restart");
+  deployment_.discovery = deployment.discovery;
+  members_.follow(deployment.discovery);
+  // The scheduler identifies a plan by its index, so only the plans' parameters may change.
+  if (deployment.platform.plans == deployment_.platform.plans)
+    scheduler_->update_plans(deployment.platform.head.plans);
   else
-    logs::warn("which plans there are changes only with a restart");
+    logs::warn("the set of plans changes only with a restart");
 }
 
 // --- clients ----------------------------------------------------------------------------------------------
 
-// Null, or why the command can't be one: nothing malformed is to reach a node.
-const char* Relay::read(const resp::Command& command, BlockIo& bio, Work& work, Micros came) {
-  const auto& w = command.words;
-  const bool write = w[0] == "BLK.WRITE";
-  if (!write && w[0] != "BLK.READ") return "unknown command";
-  if (command.count != (write ? 5 : 4)) return "wrong number of words";
-  std::uint64_t piece = 0, volume = 0;
-  if (!hex(w[1], piece)) return "the piece of data is not 16 hex digits";
-  if (!hex(w[2], work.name)) return "the id is not 16 hex digits";
-  const provision::PlatformSettings& platform = given_.platform;
-  long wait = -1, units = -1, shard = -2, heads = -1;
-  std::size_t wait_at = 0, wait_size = 0;
+// Fills in the block I/O and the request. Returns null, or the reason why the command is malformed; nothing
+// malformed may reach a node.
+const char* Relay::parse_command(const resp::Command& command, BlockIo& bio, Request& request,
+                                 Micros arrived_at) {
+  const auto& words = command.words;
+  const bool is_write = words[0] == "BLK.WRITE";
+  if (!is_write && words[0] != "BLK.READ") return "unknown command";
+  if (command.count != (is_write ? 5 : 4)) return "wrong number of words";
+  std::uint64_t object = 0;
+  std::uint64_t volume = 0;
+  if (!parse_hex(words[1], object)) return "the piece of data is not 16 hex digits";
+  if (!parse_hex(words[2], request.client_id)) return "the id is not 16 hex digits";
+  const provision::PlatformSettings& platform = deployment_.platform;
+  // Values below the permitted range mark fields that have not been seen.
+  long wait_ms = -1;
+  long units = -1;
+  long shard = -2;
+  long heads = -1;
+  std::size_t wait_offset = 0;
+  std::size_t wait_size = 0;
   bool has_volume = false;
-  for (std::size_t at = 0; at < w[3].size();) {
-    const std::size_t comma = std::min(w[3].find(',', at), w[3].size());
-    const std::string_view pair = w[3].substr(at, comma - at);
+  for (std::size_t begin = 0; begin < words[3].size();) {
+    const std::size_t comma = std::min(words[3].find(',', begin), words[3].size());
+    const std::string_view pair = words[3].substr(begin, comma - begin);
     const std::size_t equals = pair.find('=');
     if (equals == std::string_view::npos) return "a value without a name";
-    const std::string_view name = pair.substr(0, equals), value = pair.substr(equals + 1);
+    const std::string_view name = pair.substr(0, equals);
+    const std::string_view value = pair.substr(equals + 1);
     if (name == "c") {
       if (bio.group >= 0 || (bio.group = platform.groups.find(value)) < 0) return "unknown class";
     } else if (name == "t") {
       if (bio.plan >= 0 || (bio.plan = platform.plans.find(value)) < 0) return "unknown plan";
     } else if (name == "d") {
-      if (wait >= 0 || !whole(value, 0, kLongestWait, wait))
+      if (wait_ms >= 0 || !parse_integer(value, 0, kMaxWaitMs, wait_ms))
         return "the wait is not a number of milliseconds";
-      wait_at = at + equals + 1;
+      wait_offset = begin + equals + 1;
       wait_size = value.size();
     } else if (name == "volume") {
-      if (has_volume || !hex(value, volume)) return "the volume is not 16 hex digits";
+      if (has_volume || !parse_hex(value, volume)) return "the volume is not 16 hex digits";
       has_volume = true;
     } else if (name == "units") {
-      if (units >= 0 || !whole(value, 1, static_cast<long>(platform.head.max_units), units))
+      if (units >= 0 || !parse_integer(value, 1, static_cast<long>(platform.head.max_units), units))
         return "bad units";
     } else if (name == "shard") {
-      if (shard >= -1 || !whole(value, -1, kMostShard, shard)) return "bad shard";
+      if (shard >= -1 || !parse_integer(value, -1, kMaxShard, shard)) return "bad shard";
     } else if (name == "hosts") {
-      if (heads >= 0 || !whole(value, 1, kMostHeads, heads)) return "bad number of hosts";
+      if (heads >= 0 || !parse_integer(value, 1, kMaxHeads, heads)) return "bad number of hosts";
     }
-    at = comma + 1;
+    begin = comma + 1;
   }
   if (bio.group < 0) return "no class";
   if (bio.plan < 0) return "no plan";
-  if (wait < 0) return "no wait";
+  if (wait_ms < 0) return "no wait";
   if (!has_volume || units < 0 || shard < -1 || heads < 0) return "no volume, units, shard or hosts";
-  if (platform.writes[bio.group] != write) return "the class is not one of this command";
-  bio.object = stable_hash(w[1]);
-  bio.give_up_at = came + wait * 1000;
-  // Nothing may be left unanswered when this head goes.
-  if (gone_at_ > 0) bio.give_up_at = std::min(bio.give_up_at, gone_at_);
+  if (platform.writes[bio.group] != is_write) return "the class is not one of this command";
+  bio.object = stable_hash(words[1]);
+  bio.give_up_at = arrived_at + wait_ms * 1000;
+  // All requests must be answered before this head stops.
+  if (drain_deadline_ > 0) bio.give_up_at = std::min(bio.give_up_at, drain_deadline_);
   bio.units = static_cast<int>(units);
   bio.shard = static_cast<int>(shard);
   bio.heads = static_cast<int>(heads);
   bio.volume = volumes_.acquire(volume, now_);
-  work.give_up_at = bio.give_up_at;
-  work.taken = came;
-  work.command.before.clear();
-  resp::append_array_header(work.command.before, static_cast<std::size_t>(command.count));
-  for (int i = 0; i < 3; ++i) resp::append_bulk_string(work.command.before, w[i]);
-  work.command.fields = w[3];
-  work.command.fields.erase(wait_at, wait_size);
-  work.command.wait = wait_at;
-  work.command.behind.clear();
-  if (write) resp::append_bulk_string(work.command.behind, w[4]);
+  request.give_up_at = bio.give_up_at;
+  request.arrived_at = arrived_at;
+  request.command.before.clear();
+  resp::append_array_header(request.command.before, static_cast<std::size_t>(command.count));
+  for (int i = 0; i < 3; ++i) resp::append_bulk_string(request.command.before, words[i]);
+  request.command.fields = words[3];
+  request.command.fields.erase(wait_offset, wait_size);
+  request.command.wait = wait_offset;
+  request.command.behind.clear();
+  if (is_write) resp::append_bulk_string(request.command.behind, words[4]);
   return nullptr;
 }
 
-void Relay::asked(const callers::Caller& caller, const resp::Command& command, Micros came) {
-  if (command.words[0] == "PING" && command.count == 1) return callers_.answer(caller, "+PONG\r\n");
-  now();
+void Relay::on_command(const client_sessions::CommandId& command_id, const resp::Command& command,
+                       Micros arrived_at) {
+  if (command.words[0] == "PING" && command.count == 1) return sessions_.answer(command_id, "+PONG\r\n");
+  update_clock();
   BlockIo bio{.id = 0,
               .object = 0,
               .give_up_at = 0,
@@ -327,154 +352,166 @@
               .shard = -1,
               .units = 0,
               .heads = 0};
-  const int at = works_.allocate_uncleared();
-  Work& work = works_[at];
-  work.submits = work.out = 0;
-  work.may_have_run = work.parting = false;
-  work.last = Result::not_sent;
-  const char* why = read(command, bio, work, came);
-  if (!why && by_name_.find(work.name) >= 0) why = "a block I/O of this id is in hand";
+  const int index = requests_.allocate_uncleared();
+  Request& request = requests_[index];
+  request.in_flight = 0;
+  request.submits = 0;
+  request.client_half_closed = false;
+  request.may_have_run = false;
+  request.last_result = Result::not_sent;
+  const char* why = parse_command(command, bio, request, arrived_at);
+  if (!why && by_client_id_.find(request.client_id) >= 0) why = "a block I/O of this id is in hand";
   if (why) {
-    ++counts_.bad;
-    works_.release(at);
-    return callers_.error(caller, why);
+    ++counts_.malformed;
+    requests_.release(index);
+    return sessions_.answer_error(command_id, why);
   }
-  // Guards the memory limit: what can't be kept in hand is turned back untouched.
-  if (bytes_ + work.command.bytes() > given_.memory / kBodiesPart) {
-    ++counts_.full;
-    works_.release(at);
-    return callers_.answer(caller, "-BUSY\r\n");
+  // Enforces the memory limit. -BUSY tells the client that the command has not run.
+  if (command_bytes_ + request.command.bytes() > deployment_.memory_bytes / kActiveMemoryDivisor) {
+    ++counts_.over_memory;
+    requests_.release(index);
+    return sessions_.answer(command_id, "-BUSY\r\n");
   }
-  ++counts_.taken;
-  bytes_ += work.command.bytes();
-  work.caller = caller;
-  bio.id = work.id = ++last_id_;
-  in_hand_.insert(at);
-  by_id_.insert(bio.id, at);
-  by_name_.insert(work.name, at);
-  if (trace_)
-    logs::debug("taken", {{"id", work.id},
-                          {"request", hex_text(work.name)},
-                          {"connection", caller.token},
-                          {"waited", now_ - came},
-                          {"left", work.give_up_at - now_}});
-  rules_->enqueue(bio);
+  ++counts_.accepted;
+  command_bytes_ += request.command.bytes();
+  request.command_id = command_id;
+  bio.id = request.id = ++last_id_;
+  active_.insert(index);
+  by_id_.insert(bio.id, index);
+  by_client_id_.insert(request.client_id, index);
+  if (is_tracing_)
+    logs::debug("taken", {{"id", request.id},
+                          {"request", to_hex(request.client_id)},
+                          {"connection", command_id.connection_id},
+                          {"waited", now_ - arrived_at},
+                          {"left", request.give_up_at - now_}});
+  scheduler_->enqueue(bio);
 }
 
-int Relay::find(const callers::Caller& caller) const {
-  for (int at : in_hand_)
-    if (works_[at].caller.token == caller.token && works_[at].caller.turn == caller.turn) return at;
+// Returns the index of the active request that the command became, or -1.
+int Relay::find(const client_sessions::CommandId& command_id) const {
+  for (int index : active_)
+    if (requests_[index].command_id.connection_id == command_id.connection_id &&
+        requests_[index].command_id.sequence == command_id.sequence)
+      return index;
   return -1;
 }
 
-void Relay::left(const callers::Caller& caller) {
-  const int at = find(caller);
-  if (at < 0) return;
-  ++counts_.left;
-  now();
-  say_final(at, "left", "client gone");
-  const std::uint64_t id = works_[at].id;
-  let_go(at);
-  rules_->on_client_disconnected(id);
+void Relay::on_disconnect(const client_sessions::CommandId& command_id) {
+  const int index = find(command_id);
+  if (index < 0) return;
+  ++counts_.abandoned;
+  update_clock();
+  record_final(index, "left", "client disconnected");
+  const std::uint64_t id = requests_[index].id;
+  release_request(index);
+  scheduler_->on_client_disconnected(id);
   nodes_.retract(id);
 }
 
-void Relay::parting(const callers::Caller& caller) {
-  const int at = find(caller);
-  if (at < 0) return;
-  now();
-  Work& work = works_[at];
-  work.parting = true;
-  work.out -= nodes_.retract(work.id);
-  if (work.out == 0) conclude(at);
+void Relay::on_half_close(const client_sessions::CommandId& command_id) {
+  const int index = find(command_id);
+  if (index < 0) return;
+  update_clock();
+  Request& request = requests_[index];
+  request.client_half_closed = true;
+  request.in_flight -= nodes_.retract(request.id);
+  if (request.in_flight == 0) abort_request(index);
 }
 
-// Its client or this head goes, so nothing more begins for it: told as shed where surely nothing has run.
-void Relay::conclude(int at) {
-  Work& work = works_[at];
-  const std::uint64_t id = work.id;
-  work.out -= nodes_.retract(id);
-  const bool run = work.may_have_run || work.out > 0;
-  ++(work.parting ? counts_.left : run ? counts_.failed : counts_.shed);
-  say_final(at, work.parting ? "left" : run ? "failed" : "shed", work.parting ? "client ended" : "stopping");
-  callers_.answer(work.caller, run ? "-ERR failed\r\n" : "-BUSY\r\n");
-  let_go(at);
-  rules_->on_client_disconnected(id);
+// Ends a request because its client has half-closed or this head stops. Submits that have not begun to leave
+// are withdrawn. The client is told that nothing has run only if that is certain.
+void Relay::abort_request(int index) {
+  Request& request = requests_[index];
+  const std::uint64_t id = request.id;
+  request.in_flight -= nodes_.retract(id);
+  const bool may_have_run = request.may_have_run || request.in_flight > 0;
+  ++(request.client_half_closed ? counts_.abandoned : may_have_run ? counts_.failed : counts_.shed);
+  record_final(index,
+               request.client_half_closed ? "left"
+               : may_have_run             ? "failed"
+                                          : "shed",
+               request.client_half_closed ? "client half-closed" : "stopping");
+  sessions_.answer(request.command_id, may_have_run ? "-ERR failed\r\n" : "-BUSY\r\n");
+  release_request(index);
+  scheduler_->on_client_disconnected(id);
 }
 
-void Relay::let_go(int at) {
-  Work& work = works_[at];
-  bytes_ -= work.command.bytes();
-  by_id_.erase(work.id);
-  by_name_.erase(work.name);
-  in_hand_.erase(at);
-  works_.release(at);
-  if (work.command.behind.capacity() > resp::kMaxLineBytes)
-    work.command.behind = {};  // a body's memory is not kept
+void Relay::release_request(int index) {
+  Request& request = requests_[index];
+  command_bytes_ -= request.command.bytes();
+  by_id_.erase(request.id);
+  by_client_id_.erase(request.client_id);
+  active_.erase(index);
+  requests_.release(index);
+  if (request.command.behind.capacity() > resp::kMaxLineBytes)
+    request.command.behind = {};  // frees the memory of a long value
 }
 
 void Relay::shed(std::uint64_t id, Micros come_back_after, RejectionReason why) {
-  const int at = by_id_.find(id);
-  if (at < 0) return;
+  const int index = by_id_.find(id);
+  if (index < 0) return;
   ++counts_.shed;
-  ++counts_.given_up[static_cast<std::size_t>(why)];
-  text_ = "-BUSY";
-  if (come_back_after > 0) text_ += " " + std::to_string((come_back_after + 999) / 1000);
-  text_ += "\r\n";
-  say_final(at, "shed", kRejectionReasonNames[static_cast<std::size_t>(why)]);
-  callers_.answer(works_[at].caller, text_);
-  let_go(at);
+  ++counts_.rejections[static_cast<std::size_t>(why)];
+  answer_ = "-BUSY";
+  if (come_back_after > 0) answer_ += " " + std::to_string((come_back_after + 999) / 1000);
+  answer_ += "\r\n";
+  record_final(index, "shed", kRejectionReasonNames[static_cast<std::size_t>(why)]);
+  sessions_.answer(requests_[index].command_id, answer_);
+  release_request(index);
 }
 
 void Relay::fail(std::uint64_t id, RejectionReason why) {
-  const int at = by_id_.find(id);
-  if (at < 0) return;
+  const int index = by_id_.find(id);
+  if (index < 0) return;
   ++counts_.failed;
-  ++counts_.given_up[static_cast<std::size_t>(why)];
-  say_final(at, "failed", kRejectionReasonNames[static_cast<std::size_t>(why)]);
-  callers_.error(works_[at].caller, "failed");
-  let_go(at);
+  ++counts_.rejections[static_cast<std::size_t>(why)];
+  record_final(index, "failed", kRejectionReasonNames[static_cast<std::size_t>(why)]);
+  sessions_.answer_error(requests_[index].command_id, "failed");
+  release_request(index);
 }
 
 // --- nodes ------------------------------------------------------------------------------------------------
 
 void Relay::submit(std::uint64_t id, int node, Micros try_for) {
-  const int at = by_id_.find(id);
-  if (at < 0) return;
-  Work& work = works_[at];
+  const int index = by_id_.find(id);
+  if (index < 0) return;
+  Request& request = requests_[index];
   ++counts_.submits;
-  if (work.submits > 0) ++counts_.further;
-  if (trace_)
-    logs::debug("submit",
-                {{"id", id},
-                 {"no", work.submits},
-                 {"after", work.submits > 0 ? kResultNames[static_cast<std::size_t>(work.last)] : ""},
-                 {"node", members_.node(node).name},
-                 {"left", try_for}});
-  ++work.out;
-  nodes_.submit(id, work.submits++, node, work.command, now_, try_for);
+  if (request.submits > 0) ++counts_.later_submits;
+  if (is_tracing_)
+    logs::debug(
+        "submit",
+        {{"id", id},
+         {"no", request.submits},
+         {"after", request.submits > 0 ? kResultNames[static_cast<std::size_t>(request.last_result)] : ""},
+         {"node", members_.node(node).name},
+         {"left", try_for}});
+  ++request.in_flight;
+  nodes_.submit(id, request.submits++, node, request.command, now_, try_for);
 }
 
-// The module's rules, and what only the socket tells: a client that has just closed.
+// Checks the scheduler's rules, and by its socket whether the client has just closed.
 DenialReason Relay::may_begin(std::uint64_t id, int no) {
-  now();
-  const int at = by_id_.find(id);
-  if (at < 0 || works_[at].parting) return DenialReason::request_over;
-  const Work& work = works_[at];
-  if (now_ - work.taken >= kGoneWithin && callers_.hung_up(work.caller)) return DenialReason::request_over;
-  return rules_->may_begin(id, no);
+  update_clock();
+  const int index = by_id_.find(id);
+  if (index < 0 || requests_[index].client_half_closed) return DenialReason::request_over;
+  const Request& request = requests_[index];
+  if (now_ - request.arrived_at >= kMaxDisconnectDelayUs && sessions_.has_client_closed(request.command_id))
+    return DenialReason::request_over;
+  return scheduler_->may_begin(id, no);
 }
 
-void Relay::submit_ended(const nodes::Ended& given) {
-  nodes::Ended ended = given;
+void Relay::submit_ended(const nodes::Ended& reported) {
+  nodes::Ended ended = reported;
 #ifdef YEWMOUNT_PLANTED_FAULT
-  // For the tests' own judge only: what may have run is passed off as surely not run.
+  // For tests of the tests: results that may have run are reported as certainly not run.
   if (ended.result == Result::lost || ended.result == Result::error) ended.result = Result::no_connection;
 #endif
-  now();
-  const int at = by_id_.find(ended.id);
-  const bool good = ended.result == Result::ended;
-  if (trace_)
+  update_clock();
+  const int index = by_id_.find(ended.id);
+  const bool succeeded = ended.result == Result::ended;
+  if (is_tracing_)
     logs::debug("ended", {{"id", ended.id},
                           {"no", ended.no},
                           {"node", members_.node(ended.node).name},
@@ -485,78 +522,81 @@
                           {"out", ended.report.outstanding},
                           {"recent", ended.report.recent},
                           {"value", ended.value.size()},
-                          {"late", at < 0}});
-  ++counts_.outcomes[static_cast<std::size_t>(ended.result)];
-  const bool parting = at >= 0 && works_[at].parting;
-  if (at >= 0) {
-    if (works_[at].out <= 0) {
-      ++counts_.violations.unasked_values;
+                          {"late", index < 0}});
+  ++counts_.results[static_cast<std::size_t>(ended.result)];
+  const bool half_closed = index >= 0 && requests_[index].client_half_closed;
+  if (index >= 0) {
+    if (requests_[index].in_flight <= 0) {
+      ++counts_.violations.unexpected_results;
       logs::error("violation: an outcome of nothing that is out", {{"id", ended.id}, {"no", ended.no}});
     }
-    works_[at].last = ended.result;
-    --works_[at].out;
-    works_[at].may_have_run |= ended.result != Result::turned_away && ended.result != Result::no_connection &&
-                               ended.result != Result::not_sent;
+    requests_[index].last_result = ended.result;
+    --requests_[index].in_flight;
+    requests_[index].may_have_run |= ended.result != Result::turned_away &&
+                                     ended.result != Result::no_connection &&
+                                     ended.result != Result::not_sent;
   }
-  rules_->on_submit_result({ended.id, ended.no, ended.node, ended.result, good || parting || at < 0,
-                            ended.lag, ended.volume_use, ended.from_others, ended.report});
-  // The module may have shed or failed it in that call; a good answer ends it here.
-  if (at < 0 || by_id_.find(ended.id) != at) return;
-  if (!good) {
-    if (parting && works_[at].out == 0) conclude(at);
+  scheduler_->on_submit_result({ended.id, ended.no, ended.node, ended.result,
+                                succeeded || half_closed || index < 0, ended.lag, ended.volume_use,
+                                ended.from_others, ended.report});
+  // The scheduler may have shed or failed the request in that call. Otherwise a success ends it here.
+  if (index < 0 || by_id_.find(ended.id) != index) return;
+  if (!succeeded) {
+    if (half_closed && requests_[index].in_flight == 0) abort_request(index);
     return;
   }
-  ++counts_.ended;
-  say_final(at, "ended", "");
-  text_.clear();
-  resp::append_bulk_string(text_, ended.value);
-  callers_.answer(works_[at].caller, text_);
-  let_go(at);
+  ++counts_.completed;
+  record_final(index, "ended", "");
+  answer_.clear();
+  resp::append_bulk_string(answer_, ended.value);
+  sessions_.answer(requests_[index].command_id, answer_);
+  release_request(index);
 }
 
-void Relay::say_final(int at, const char* how, std::string_view why) {
-  const Work& work = works_[at];
-  const Micros over = now_ - work.give_up_at;
-  if (over > kAnswerSlack + given_.platform.head.answer_slack && !work.parting) {
+// Logs the end of a request, before it is answered, and checks that the answer is in time.
+void Relay::record_final(int index, const char* how, std::string_view why) {
+  const Request& request = requests_[index];
+  const Micros overrun = now_ - request.give_up_at;
+  if (overrun > kAnswerSlackUs + deployment_.platform.head.answer_slack && !request.client_half_closed) {
     ++counts_.violations.late_answers;
-    logs::error("violation: late", {{"request", hex_text(work.name)}, {"how", how}, {"over", over}});
+    logs::error("violation: late", {{"request", to_hex(request.client_id)}, {"how", how}, {"over", overrun}});
   }
-  if (!trace_) return;
-  logs::debug("final", {{"id", work.id},
-                        {"request", hex_text(work.name)},
+  if (!is_tracing_) return;
+  logs::debug("final", {{"id", request.id},
+                        {"request", to_hex(request.client_id)},
                         {"how", how},
                         {"why", why},
-                        {"submits", work.submits},
-                        {"took", now_ - work.taken},
-                        {"left", -over}});
+                        {"submits", request.submits},
+                        {"took", now_ - request.arrived_at},
+                        {"left", -overrun}});
 }
 
 void Relay::log_note(std::string_view text) { logs::info("module", {{"says", text}}); }
 
-// --- the list of nodes ------------------------------------------------------------------------------------
+// --- node list --------------------------------------------------------------------------------------------
 
 void Relay::on_membership(ListKind kind, std::span<const NodeEntry> entries) {
-  now();
-  for (const NodeEntry& e : entries) {
-    const members::Known& n = members_.node(e.node);
-    if (trace_)
-      logs::debug("node", {{"node", n.name},
-                           {"state", kNodeStateNames[static_cast<std::size_t>(e.state)]},
-                           {"up_since", e.up_since},
+  update_clock();
+  for (const NodeEntry& entry : entries) {
+    const members::Known& node = members_.node(entry.node);
+    if (is_tracing_)
+      logs::debug("node", {{"node", node.name},
+                           {"state", kNodeStateNames[static_cast<std::size_t>(entry.state)]},
+                           {"up_since", entry.up_since},
                            {"version", members_.version()}});
-    if (e.state != NodeState::gone) nodes_.node_at(e.node, n.name, n.at, n.started);
-    if (e.state != NodeState::ready) nodes_.recall(e.node);
+    if (entry.state != NodeState::gone) nodes_.node_at(entry.node, node.name, node.at, node.started);
+    if (entry.state != NodeState::ready) nodes_.recall(entry.node);
   }
-  rules_->update_node_list(kind, entries);
+  scheduler_->update_node_list(kind, entries);
   if (kind == ListKind::full || kind == ListKind::cached) {
     for (int i = 0; i < members_.size(); ++i)
       if (members_.node(i).used && members_.node(i).state == NodeState::gone) nodes_.recall(i);
   }
 }
 
-// Only where all agree does any of them forget.
+// The index of a node is recycled only if both the node connections and the scheduler have released it.
 bool Relay::may_reuse(int node) {
-  if (nodes_.busy(node) || !rules_->forget_node(node)) return false;
+  if (nodes_.busy(node) || !scheduler_->forget_node(node)) return false;
   nodes_.forget(node);
   return true;
 }
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -1,6 +1,7 @@
-// The head on the operators' platform: commands of clients become block I/Os, the module decides on them, and
-// its wishes become commands to nodes and answers to clients. It decides nothing of its own. No door, no
-// catalogue, no scrubber, no file: the platform's limits and rules leave no room for them.
+// A head on the operators' platform, which speaks RESP2. Commands of clients become block I/Os, the scheduler
+// decides on them, and its actions become commands to nodes and answers to clients. This class makes no
+// decisions of its own. The platform's limits and rules leave no room for the HTTP endpoint, catalogue,
+// scrubber and files of the stand-alone daemon.
 #pragma once
 #include <array>
 #include <asio.hpp>
@@ -10,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-#include "callers/callers.h"
+#include "client_sessions/client_sessions.h"
 #include "event_loop/event_loop.h"
 #include "members/members.h"
 #include "nodes/nodes.h"
@@ -20,64 +21,89 @@
 
 namespace yewmount::relay {
 
-// What the platform hands a head at its start.
+// The configuration that the platform passes to a head at its start.
 struct Deployment {
   std::string name;
-  asio::ip::tcp::endpoint listen, members;
-  std::size_t sockets = 0, memory = 0;  // descriptors; bytes
-  nlohmann::json known;
+  asio::ip::tcp::endpoint listen;
+  asio::ip::tcp::endpoint discovery;  // of the service that lists the nodes
+  std::size_t max_descriptors = 0;
+  std::size_t memory_bytes = 0;
+  nlohmann::json known_nodes;  // the node list as of the start
   provision::PlatformSettings platform;
 };
 
-// Throws provision::BadInput or std::runtime_error with one line: the place and the reason.
-Deployment load(const std::string& file);
+// Reads a configuration file. Throws provision::BadInput or std::runtime_error; the message is one line with
+// the place and the reason.
+Deployment load_deployment(const std::string& file);
 
-// What must never happen; each is counted, and logged as an error.
+// Events that must never happen. Each is counted and logged as an error.
 struct Violations {
-  std::uint64_t late_answers = 0;    // later than the client's time and the slack on it
-  std::uint64_t unasked_values = 0;  // a value for a submit that was not out
+  std::uint64_t late_answers = 0;        // after the client's deadline and the slack on it
+  std::uint64_t unexpected_results = 0;  // results of a request without a submit in flight
 };
 
+// Totals since the start.
 struct Counts {
-  std::uint64_t taken = 0, ended = 0, shed = 0, failed = 0, left = 0, bad = 0, full = 0, submits = 0,
-                further = 0;
-  std::uint64_t stood_still = 0;
-  Micros longest_turn = 0;
-  std::array<std::uint64_t, kRejectionReasonNames.size()> given_up =
-      {};  // shed or failed by the module, by RejectionReason
-  std::array<std::uint64_t, kResultNames.size()> outcomes = {};  // of submits, by Result
+  std::uint64_t accepted = 0;  // commands that became block I/Os; each ends in one of the next four
+  std::uint64_t completed = 0;
+  std::uint64_t shed = 0;
+  std::uint64_t failed = 0;
+  std::uint64_t abandoned = 0;      // the client disconnected or half-closed
+  std::uint64_t malformed = 0;      // commands answered with an error
+  std::uint64_t over_memory = 0;    // commands rejected because of the memory limit
+  std::uint64_t submits = 0;        // all attempts
+  std::uint64_t later_submits = 0;  // attempts after the first of a request
+  std::uint64_t pauses = 0;         // gaps between loop iterations above kPauseThresholdUs
+  Micros longest_iteration = 0;
+  // Requests that the scheduler shed or failed, by RejectionReason.
+  std::array<std::uint64_t, kRejectionReasonNames.size()> rejections = {};
+  std::array<std::uint64_t, kResultNames.size()> results = {};  // of submits, by Result
   Violations violations;
 };
 
-class Relay : public HeadEnvironment, public callers::Service, public nodes::Told, public members::Told {
+// The event loop of one head, and the adapter between the scheduler and the network code.
+class Relay : public HeadEnvironment,
+              public client_sessions::CommandHandler,
+              public nodes::Told,
+              public members::Told {
  public:
-  Relay(asio::io_context& io, Deployment given);
+  Relay(asio::io_context& io, Deployment deployment);
   ~Relay() override;
 
-  std::uint16_t port() const { return callers_.port(); }
-  void run();  // until drained
-  // Goes on for as long as the platform leaves it, then ends connections between commands; run() returns once
-  // all in hand have their final answer.
+  std::uint16_t port() const { return sessions_.port(); }
+  // Runs the event loop until a graceful shutdown has finished.
+  void run();
+  // Starts a graceful shutdown: serves for as long as the platform permits, then closes idle connections;
+  // run() returns once all requests have their final answer.
   void drain();
-  void reload(const Deployment& given);  // another place of the list of nodes, other plans
-  void trace(bool on) { trace_ = on; }
+  // Applies a changed discovery address and changed parameters of the plans; other changes need a restart.
+  void reload(const Deployment& deployment);
+  // Sets whether each request and submit is logged.
+  void set_tracing(bool on) { is_tracing_ = on; }
+  // The counters and gauges for the log.
   nlohmann::ordered_json report() const;
 
  private:
-  struct Work {                      // a block I/O in hand
-    std::uint64_t id = 0, name = 0;  // the module's; the client's
-    callers::Caller caller;
-    Micros taken = 0, give_up_at = 0;
-    int submits = 0, out = 0;                    // all there were; those without an outcome
-    bool may_have_run = false, parting = false;  // parting: its client sends no more
-    Result last = Result::not_sent;              // of its last submit that has an outcome
-    nodes::Command command;                      // as it goes to nodes
+  // A block I/O that has no final answer yet.
+  struct Request {
+    std::uint64_t id = 0;         // the scheduler's
+    std::uint64_t client_id = 0;  // given by the client
+    client_sessions::CommandId command_id;
+    Micros arrived_at = 0;
+    Micros give_up_at = 0;
+    int submits = 0;    // all attempts
+    int in_flight = 0;  // attempts without a result
+    bool may_have_run = false;
+    bool client_half_closed = false;
+    Result last_result = Result::not_sent;
+    nodes::Command command;  // as sent to nodes
   };
 
-  // callers::Service
-  void asked(const callers::Caller& caller, const resp::Command& command, Micros came) override;
-  void left(const callers::Caller& caller) override;
-  void parting(const callers::Caller& caller) override;
+  // client_sessions::CommandHandler
+  void on_command(const client_sessions::CommandId& command_id, const resp::Command& command,
+                  Micros arrived_at) override;
+  void on_disconnect(const client_sessions::CommandId& command_id) override;
+  void on_half_close(const client_sessions::CommandId& command_id) override;
   // nodes::Told
   DenialReason may_begin(std::uint64_t id, int no) override;
   void submit_ended(const nodes::Ended& ended) override;
@@ -89,40 +115,45 @@
   void shed(std::uint64_t id, Micros come_back_after, RejectionReason) override;
   void fail(std::uint64_t id, RejectionReason) override;
   void cancel(std::uint64_t id, int submit) override { nodes_.cancel(id, submit); }
-  void set_timer(std::uint64_t token, Micros from_now) override { wakes_.add(now_ + from_now, token); }
-  void fetch_list() override {}  // the list is followed all the time
+  void set_timer(std::uint64_t token, Micros from_now) override { timers_.add(now_ + from_now, token); }
+  void fetch_list() override {}  // members_ follows the list all the time
   void watch_list() override {}
-  void probe(int) override {}  // the protocol has none, and the module is told so
+  void probe(int) override {}  // never called: the protocol has no probe, so may_probe is false
   void log_note(std::string_view text) override;
 
-  const char* read(const resp::Command& command, BlockIo& bio, Work& work, Micros came);
-  int find(const callers::Caller& caller) const;
-  void conclude(int work);
-  void turn();
-  void once_a_second(Micros now);
-  void let_go(int work);
-  void say_final(int work, const char* how, std::string_view why);
-  Micros now();
+  const char* parse_command(const resp::Command& command, BlockIo& bio, Request& request, Micros arrived_at);
+  int find(const client_sessions::CommandId& command_id) const;
+  void abort_request(int index);
+  void run_iteration();
+  void run_every_second(Micros now);
+  void release_request(int index);
+  void record_final(int index, const char* how, std::string_view why);
+  Micros update_clock();
 
   asio::io_context& io_;
-  Deployment given_;
-  callers::Callers callers_;
+  Deployment deployment_;
+  client_sessions::ClientSessions sessions_;
   nodes::Nodes nodes_;
   members::Members members_;
   Micros now_ = 0;
-  event_loop::TimerList wakes_;
+  event_loop::TimerList timers_;
   event_loop::IndexPool<std::uint64_t> volumes_;
-  Slab<Work> works_;
-  IndexSet in_hand_;
-  IdMap by_id_, by_name_;
+  Slab<Request> requests_;
+  IndexSet active_;
+  IdMap by_id_;
+  IdMap by_client_id_;
   std::uint64_t last_id_ = 0;
-  std::size_t bytes_ = 0;  // of the commands in hand
-  std::string text_;
+  std::size_t command_bytes_ = 0;  // of the commands of all active requests
+  std::string answer_;             // reused buffer
   Counts counts_;
-  Micros swept_ = 0, looked_ = 0, turned_ = 0, told_ = 0,
-         gone_at_ = 0;  // gone_at: after SIGTERM, when the last answer is due
-  bool trace_ = false, listening_ = true;
-  std::unique_ptr<Head> rules_;  // last: it speaks to the rest from its start
+  Micros last_second_at_ = 0;  // when run_every_second() last ran
+  Micros last_check_at_ = 0;   // when timeouts of connections were last checked
+  Micros last_iteration_at_ = 0;
+  Micros last_report_at_ = 0;
+  Micros drain_deadline_ = 0;  // when the last answer of a graceful shutdown is due; 0: none has begun
+  bool is_tracing_ = false;
+  bool is_listening_ = true;
+  std::unique_ptr<Head> scheduler_;  // last: its constructor calls this object
 };
 
 }  // namespace yewmount::relay
