--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -42,9 +42,9 @@
 # The platform's protocol: one more way in and out.
 yewmount_package(resp SOURCES src/resp/resp.cpp)
 yewmount_package(callers SOURCES src/callers/callers.cpp USES yewmount_net yewmount_resp yewmount_base)
-yewmount_package(nodes SOURCES src/nodes/nodes.cpp
+yewmount_package(nodes SOURCES src/node_connections/node_connections.cpp
                  USES yewmount_net yewmount_resp yewmount_base yewmount_provision)
-yewmount_package(members SOURCES src/members/members.cpp
+yewmount_package(members SOURCES src/discovery/discovery_client.cpp
                  USES yewmount_net yewmount_base yewmount_provision http_parser)
 yewmount_package(relay SOURCES src/relay/relay.cpp USES yewmount_callers yewmount_nodes yewmount_members
                  yewmount_settings)
--- /dev/null
+++ b/src/node_connections/node_connections.cpp
@@ -0,0 +1,540 @@
+#include "node_connections/node_connections.h"
+
+#include <algorithm>
+#include <charconv>
+#include <cmath>
+
+#include "base/base.h"
+#include "net/socket_errors.h"
+#include "provision/provision.h"
+
+namespace yewmount::node_connections {
+namespace {
+
+// Pause after a reply before its connection is reused. Excess bytes, such as a duplicate of the reply, arrive
+// within this time and are then not taken for the reply to the next submit.
+constexpr Micros kReuseDelayUs = 10'000;
+constexpr Micros kTimeoutCheckIntervalUs = 1'000;
+// Share of the idle timeout of nodes after which this side closes an idle connection: a submit that is sent
+// while the node closes the connection may have run.
+constexpr double kIdleTimeoutShare = 0.6;
+constexpr double kMaxReportValue = 1e9;
+constexpr Micros kReconnectDelayUs = 10'000;  // after this machine had no socket, port or route
+
+}  // namespace
+
+class NodeConnections::ConnectionStream : public net::Stream {
+ public:
+  ConnectionStream(asio::ip::tcp::socket socket, NodeConnections& owner, int connection_index)
+      : Stream(std::move(socket)), owner_(owner), connection_index_(connection_index) {}
+  std::string partial_reply;
+
+ private:
+  std::span<char> read_buffer() override { return net::shared_read_buffer(); }
+  void on_read(std::size_t bytes) override {
+    owner_.on_read(connection_index_, {net::shared_read_buffer().data(), bytes});
+  }
+  void on_write_progress() override { owner_.write_commands(connection_index_); }
+  void on_error(const std::error_code& error) override {
+    owner_.fail_connection(connection_index_, CloseReason::broken, error.message().c_str());
+  }
+  NodeConnections& owner_;
+  const int connection_index_;
+};
+
+NodeConnections::NodeConnections(asio::io_context& io, Options options, SubmitHandler& handler)
+    : io_(io), options_(std::move(options)), handler_(handler) {}
+
+NodeConnections::~NodeConnections() {
+  *alive_ = false;
+  for (int c : open_connections_)
+    if (connections_[c].stream) connections_[c].stream->close();
+}
+
+void NodeConnections::set_node(int node, const std::string& name, const asio::ip::tcp::endpoint& endpoint,
+                               Micros start_time) {
+  if (node >= static_cast<int>(nodes_.size())) nodes_.resize(node + 1);
+  Node& entry = nodes_[node];
+  const bool restarted = entry.known && entry.start_time != start_time;
+  const bool moved = entry.known && entry.endpoint != endpoint;
+  entry.name = name;
+  entry.endpoint = endpoint;
+  entry.start_time = start_time;
+  entry.known = true;
+  if (!restarted && !moved) return;
+  // A restart loses the outstanding submits; after a move they may still be answered at the former address.
+  for (const int c : std::vector<int>(entry.connections)) {
+    if (restarted && connections_[c].stream)
+      fail_connection(c, CloseReason::retired, "the node has restarted");
+    else if (connections_[c].submits.empty())
+      close_connection(c, CloseReason::retired);
+    else
+      connections_[c].retired = true;
+  }
+}
+
+bool NodeConnections::has_submits(int node) const {
+  for (int s : outstanding_)
+    if (submits_[s].node == node) return true;
+  return false;
+}
+
+void NodeConnections::remove_node(int node) {
+  if (node >= static_cast<int>(nodes_.size())) return;
+  for (const int c : std::vector<int>(nodes_[node].connections)) close_connection(c, CloseReason::retired);
+  nodes_[node] = Node{};
+}
+
+// Returns the most recently used idle connection that may be reused, else a new connection. At the limit on
+// connections, returns the connection to the node with the fewest submits, or -1 if there is none.
+int NodeConnections::connection_for(int node, Micros now) {
+  Node& entry = nodes_[node];
+  int best = -1;
+  while (true) {
+    best = -1;
+    for (int c : entry.connections) {
+      const Connection& connection = connections_[c];
+      if (!connection.stream || connection.retired || connection.reading || !connection.submits.empty())
+        continue;
+      if (now - connection.last_reply_at >= kReuseDelayUs &&
+          (best < 0 || connection.last_reply_at > connections_[best].last_reply_at))
+        best = c;
+    }
+    if (best < 0) break;
+    const bool too_old = !reuse_.may_reuse(now - connections_[best].last_reply_at, now);
+    if (!too_old && !connections_[best].stream->has_unread_input()) return best;
+    close_connection(best, too_old ? CloseReason::too_old : CloseReason::unread);
+  }
+  if (open_connections_.size() >= options_.max_connections && !evict_idle_connection()) {
+    for (int c : entry.connections) {
+      const Connection& connection = connections_[c];
+      if (connection.retired || connection.reading ||
+          static_cast<int>(connection.submits.size()) >= options_.max_submits_per_connection)
+        continue;
+      if (best < 0 || connection.submits.size() < connections_[best].submits.size()) best = c;
+    }
+    ++(best >= 0 ? counts_.pipelined : counts_.no_connection_free);
+    return best;
+  }
+  const int index = connections_.allocate();
+  open_connections_.insert(index);
+  connections_[index].node = node;
+  connections_[index].opened_at = connections_[index].last_reply_at = now;
+  entry.connections.push_back(index);
+  connect(index);
+  return index;
+}
+
+// Closes the connection that has been idle the longest, to any node. Returns false if none is idle.
+bool NodeConnections::evict_idle_connection() {
+  int oldest = -1;
+  for (int c : open_connections_) {
+    const Connection& connection = connections_[c];
+    if (connection.reading || !connection.submits.empty()) continue;
+    if (oldest < 0 || connection.last_reply_at < connections_[oldest].last_reply_at) oldest = c;
+  }
+  if (oldest < 0) return false;
+  close_connection(oldest, CloseReason::room);
+  return true;
+}
+
+void NodeConnections::connect(int connection_index) {
+  ++counts_.opened;
+  connections_[connection_index].reconnect_at = 0;
+  auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
+  connections_[connection_index].socket = socket;
+  socket->async_connect(
+      nodes_[connections_[connection_index].node].endpoint,
+      [this, connection_index, socket, alive = alive_](std::error_code error) {
+        if (!*alive || connections_[connection_index].socket != socket) return;
+        Connection& connection = connections_[connection_index];
+        if (error && net::retry_after_connect(error) == net::Retry::after_delay) {
+          connection.socket.reset();
+          connection.reconnect_at = monotonic_now() + kReconnectDelayUs;
+          return;
+        }
+        if (error) return fail_connection(connection_index, CloseReason::not_up, error.message().c_str());
+        connection.socket.reset();
+        connection.stream = std::make_shared<ConnectionStream>(std::move(*socket), *this, connection_index);
+        connection.stream->start();
+        write_commands(connection_index);
+      });
+}
+
+// Appends one command at a time, each once the socket has accepted those before it: so the remaining time in
+// a command is right when it is sent, and a command that has not been sent can still be withdrawn.
+void NodeConnections::write_commands(int connection_index) {
+  const std::shared_ptr<ConnectionStream> stream = connections_[connection_index].stream;
+  if (!stream) return;
+  stream->flush();
+  while (stream->open() && stream->pending_bytes() == 0) {
+    const auto& outstanding = connections_[connection_index].submits;
+    const auto next = std::find_if(outstanding.begin(), outstanding.end(),
+                                   [&](int s) { return s >= 0 && submits_[s].end == 0; });
+    if (next == outstanding.end()) return;
+    OutstandingSubmit& submit = submits_[*next];
+    if (const DenialReason denial = handler_.may_begin(submit.id, submit.submit);
+        denial != DenialReason::none) {
+      deny(*next, denial);
+      continue;
+    }
+    const Micros time_left_ms = std::max<Micros>(1, (submit.deadline - monotonic_now()) / 1000);
+    submit.begin = stream->bytes_appended();
+    fields_ = submit.command.fields;
+    fields_.insert(submit.command.time_left_offset, std::to_string(time_left_ms));
+    stream->out() += submit.command.prefix;
+    resp::append_bulk_string(stream->out(), fields_);
+    stream->out() += submit.command.suffix;
+    submit.end = stream->bytes_appended();
+    // Slots of ended submits are reused: release the memory of large bodies.
+    if (submit.command.suffix.capacity() > resp::kMaxLineBytes) submit.command.suffix = {};
+    stream->flush();
+  }
+}
+
+// Ends a submit that the handler denied right before its first byte was sent.
+void NodeConnections::deny(int submit_index, DenialReason denial) {
+  const OutstandingSubmit& submit = submits_[submit_index];
+  ++counts_.denied[static_cast<std::size_t>(denial)];
+  if (logs::is_debug_enabled())
+    logs::debug("withheld", {{"id", submit.id},
+                             {"no", submit.submit},
+                             {"node", nodes_[submit.node].name},
+                             {"why", kDenialReasonNames[static_cast<std::size_t>(denial)]}});
+  const int connection = submit.connection;
+  std::erase(connections_[connection].submits, submit_index);
+  detach(submit_index, Result::not_sent);
+  if (connections_[connection].retired && connections_[connection].submits.empty())
+    close_connection(connection, CloseReason::retired);
+}
+
+void NodeConnections::submit(std::uint64_t id, int submit, int node, const Command& command, Micros now,
+                             Micros timeout) {
+  const bool known = node >= 0 && node < static_cast<int>(nodes_.size()) && nodes_[node].known;
+  const int connection_index = known ? connection_for(node, now) : -1;
+  const int index = submits_.allocate_uncleared();
+  outstanding_.insert(index);
+  OutstandingSubmit& outstanding = submits_[index];
+  outstanding.id = id;
+  outstanding.submit = submit;
+  outstanding.node = node;
+  outstanding.connection = connection_index;
+  outstanding.begin = outstanding.end = 0;
+  outstanding.started_at = now;
+  outstanding.deadline = now + timeout;
+  if (connection_index < 0) {
+    pending_results_.push_back({index, id, submit, known ? Result::not_sent : Result::no_connection});
+    return;
+  }
+  const Connection& connection = connections_[connection_index];
+  outstanding.connection_idle = !connection.submits.empty() ? -2
+                                : connection.stream         ? now - connection.last_reply_at
+                                                            : -1;
+  outstanding.command = command;
+  connections_[connection_index].submits.push_back(index);
+  if (connections_[connection_index].stream) unflushed_connections_.push_back(connection_index);
+}
+
+void NodeConnections::cancel(std::uint64_t id, int submit) {
+  for (int s : outstanding_)
+    if (submits_[s].id == id && submits_[s].submit == submit)
+      pending_results_.push_back({s, id, submit, Result::called_off});
+}
+
+int NodeConnections::withdraw_unsent(std::uint64_t id) {
+  int count = 0;
+  for (int s : outstanding_) {
+    if (submits_[s].id != id || submits_[s].connection < 0 || !try_withdraw(s)) continue;
+    detach(s, Result::not_sent);
+    ++count;
+  }
+  return count;
+}
+
+void NodeConnections::flush() {
+  for (int c : unflushed_connections_) write_commands(c);
+  unflushed_connections_.clear();
+}
+
+// Separates a submit from its connection and queues its result for the next deliver_results().
+void NodeConnections::detach(int submit_index, Result result) {
+  OutstandingSubmit& submit = submits_[submit_index];
+  submit.connection = -1;
+  submit.deadline = INT64_MAX;
+  pending_results_.push_back({submit_index, submit.id, submit.submit, result});
+}
+
+// Releases a submit and reports its result, with the values and the load report of its reply if there is one.
+void NodeConnections::end_submit(int submit_index, Result result, Micros now, const resp::Reply* reply) {
+  const OutstandingSubmit& submit = submits_[submit_index];
+  const bool broke = result == Result::lost;
+  if (broke || reply) {
+    if (submit.connection_idle >= 0) reuse_.record_reused(submit.connection_idle, broke, now);
+    if (submit.connection_idle == -1) reuse_.record_new(broke, now);
+  }
+  EndedSubmit ended{.id = submit.id,
+                    .submit = submit.submit,
+                    .node = submit.node,
+                    .result = result,
+                    .lag = now - submit.started_at,
+                    .volume_use = 0,
+                    .from_others = 0,
+                    .report = {},
+                    .value = {}};
+  outstanding_.erase(submit_index);
+  submits_[submit_index].id = 0;  // invalidates pending results of this submit
+  submits_.release(submit_index);
+  if (reply && reply->kind == resp::Reply::Kind::array) {
+    ended.value = reply->values[0];
+    for (int i = 1; i < reply->count; ++i) parse_report(reply->values[i], ended);
+  } else if (reply) {
+    std::string_view rest = reply->text;
+    for (std::size_t space; (space = rest.find(' ')) != std::string_view::npos;) {
+      rest.remove_prefix(space + 1);
+      parse_report(rest.substr(0, rest.find(' ')), ended);
+    }
+  }
+  handler_.on_submit_ended(ended);
+}
+
+// Parses names and values such as used=37,cost=4; ignores malformed and out-of-range ones.
+void NodeConnections::parse_report(std::string_view text, EndedSubmit& ended) const {
+  while (!text.empty()) {
+    const std::size_t comma = std::min(text.find(','), text.size());
+    const std::string_view pair = text.substr(0, comma);
+    text.remove_prefix(std::min(comma + 1, text.size()));
+    const std::size_t equals = pair.find('=');
+    if (equals == std::string_view::npos) continue;
+    double value = 0;
+    const auto [stop, error] = std::from_chars(pair.data() + equals + 1, pair.data() + pair.size(), value);
+    if (error != std::errc() || stop != pair.data() + pair.size()) continue;
+    if (!(value >= 0 && value <= kMaxReportValue)) continue;
+    const std::string_view name = pair.substr(0, equals);
+    if (name == "used")
+      ended.volume_use = static_cast<int>(value) + 1;  // 0 means that none was reported
+    else if (name == "cost")
+      ended.from_others = static_cast<int>(value);
+    else
+      provision::set_load_value(ended.report, name, value);
+  }
+}
+
+void NodeConnections::on_read(int connection_index, std::string_view bytes) {
+  const std::shared_ptr<ConnectionStream> stream = connections_[connection_index].stream;
+  std::string& partial = stream->partial_reply;
+  const bool continued = !partial.empty();
+  if (continued) {
+    buffered_bytes_ += bytes.size();
+    partial += bytes;
+  }
+  std::string_view unparsed = continued ? partial : bytes;
+  connections_[connection_index].reading = true;
+  while (!unparsed.empty()) {
+    if (connections_[connection_index].submits.empty()) {
+      ++counts_.unexpected_replies;
+      return close_connection(connection_index, CloseReason::stray);
+    }
+    resp::Reply reply;
+    const resp::ParseStatus status = resp::parse(unparsed, reply, options_.max_value_bytes);
+    if (status == resp::ParseStatus::partial) break;
+    if (status == resp::ParseStatus::malformed) return on_malformed_reply(connection_index, reply.why);
+    unparsed.remove_prefix(reply.bytes);
+    connections_[connection_index].partial_reply_at = 0;
+    on_reply(connection_index, reply);
+    if (!stream->open()) return;
+  }
+  Connection& connection = connections_[connection_index];
+  connection.reading = false;
+  if (continued && unparsed.size() < partial.size()) {
+    buffered_bytes_ -= partial.size() - unparsed.size();
+    partial.erase(0, partial.size() - unparsed.size());
+    if (partial.empty()) partial = {};  // releases the memory of a long reply
+  } else if (!continued && !unparsed.empty()) {
+    buffered_bytes_ += unparsed.size();
+    partial = unparsed;
+  }
+  if (partial.empty()) {
+    if (connection.submits.empty() && connection.retired)
+      close_connection(connection_index, CloseReason::retired);
+    return;
+  }
+  connection.partial_reply_at = monotonic_now();
+  if (buffered_bytes_ > options_.max_buffered_bytes)
+    on_malformed_reply(connection_index, "incomplete replies exceed the buffer limit");
+}
+
+// Handles the reply to the first outstanding submit of a connection.
+void NodeConnections::on_reply(int connection_index, const resp::Reply& reply) {
+  using Kind = resp::Reply::Kind;
+  const bool has_value = reply.kind == Kind::array && reply.count == 3 && reply.values[0].data();
+  if (!has_value && reply.kind != Kind::error)
+    return on_malformed_reply(connection_index, "reply is neither a value nor an error");
+  const Micros now = monotonic_now();
+  Connection& connection = connections_[connection_index];
+  const int submit_index = connection.submits.front();
+  // A node runs a command only after its last byte has arrived: before that, only a refusal can be a reply to
+  // it.
+  const bool refused = !has_value && reply.text.starts_with("BUSY");
+  if (submit_index >= 0 && !refused && !is_fully_sent(connection, submits_[submit_index])) {
+    ++counts_.unexpected_replies;
+    return fail_connection(connection_index, CloseReason::stray,
+                           "reply arrived before its command was fully sent");
+  }
+  connection.submits.erase(connection.submits.begin());
+  connection.last_reply_at = now;
+  if (submit_index < 0) return;
+  const Result result = has_value ? Result::ended : refused ? Result::turned_away : Result::error;
+  if (reply.text.starts_with("SYNTAX"))
+    logs::error("a node can't read our command", {{"node", nodes_[connection.node].name}});
+  end_submit(submit_index, result, now, &reply);
+}
+
+// Closes a connection whose current reply is unusable. The first outstanding submit ends as an error, as it
+// may have run; those behind it may have run too.
+void NodeConnections::on_malformed_reply(int connection_index, const char* why) {
+  ++counts_.malformed_replies;
+  Connection& connection = connections_[connection_index];
+  logs::debug("malformed reply", {{"node", nodes_[connection.node].name}, {"why", why}});
+  if (!connection.submits.empty() && connection.submits.front() >= 0) {
+    const int submit_index = connection.submits.front();
+    connection.submits.erase(connection.submits.begin());
+    detach(submit_index, Result::error);
+  }
+  fail_connection(connection_index, CloseReason::spoilt, why);
+}
+
+// Whether the socket has accepted the whole command.
+bool NodeConnections::is_fully_sent(const Connection& connection, const OutstandingSubmit& submit) const {
+  return connection.stream && submit.end > 0 && submit.end <= connection.stream->bytes_written();
+}
+
+// Closes a connection and ends its outstanding submits.
+void NodeConnections::fail_connection(int connection_index, CloseReason reason, const char* why) {
+  Connection& connection = connections_[connection_index];
+  if (!connection.submits.empty()) {
+    ++counts_.connections_lost;
+    logs::debug("connection gone",
+                {{"node", nodes_[connection.node].name}, {"why", why}, {"out", connection.submits.size()}});
+  }
+  // A command that the socket has not accepted in full can't have reached the node in full, so it has not
+  // run. If a local error prevented the connect, the node must not be blamed for it.
+  const Result unsent_result = connection.reconnect_at > 0 ? Result::not_sent : Result::no_connection;
+  for (int s : connection.submits)
+    if (s >= 0) detach(s, is_fully_sent(connection, submits_[s]) ? Result::lost : unsent_result);
+  close_connection(connection_index, reason);
+}
+
+// Closes a connection and releases its slot; does not end its submits.
+void NodeConnections::close_connection(int connection_index, CloseReason reason) {
+  Connection& connection = connections_[connection_index];
+  ++counts_.closed[static_cast<std::size_t>(reason)];
+  if (logs::is_debug_enabled())
+    logs::debug("node connection closed", {{"node", nodes_[connection.node].name},
+                                           {"why", kCloseReasonNames[static_cast<std::size_t>(reason)]}});
+  if (connection.stream) {
+    buffered_bytes_ -= connection.stream->partial_reply.size();
+    connection.stream->close();
+  }
+  if (connection.socket) {
+    std::error_code ignored;
+    connection.socket->close(ignored);
+  }
+  std::erase(nodes_[connection.node].connections, connection_index);
+  open_connections_.erase(connection_index);
+  connection = Connection{};
+  connections_.release(connection_index);
+}
+
+// Closes the connections to a node that have been idle since `idle_since`. Called after a timeout: if the
+// peer has vanished without closing, other connections that have been idle meanwhile may be dead too. The
+// cost is a new connection where the node was merely slow.
+void NodeConnections::close_idle_connections(int node, Micros idle_since) {
+  for (const int c : std::vector<int>(nodes_[node].connections))
+    if (connections_[c].submits.empty() && connections_[c].last_reply_at < idle_since)
+      close_connection(c, CloseReason::quiet_neighbour);
+}
+
+// Removes a submit from its connection if none of its bytes have been sent; returns whether it did. Bytes can
+// be removed from the end of the buffer because no command is appended behind pending bytes.
+bool NodeConnections::try_withdraw(int submit_index) {
+  const OutstandingSubmit& submit = submits_[submit_index];
+  Connection& connection = connections_[submit.connection];
+  if (submit.end > 0) {
+    if (submit.begin < connection.stream->bytes_written()) return false;
+    connection.stream->remove_pending(submit.begin, submit.end);
+  }
+  std::erase(connection.submits, submit_index);
+  return true;
+}
+
+// Ends a submit that was cancelled or has timed out. Closes its connection if only abandoned submits are left
+// on it; otherwise the reply to this submit will be ignored.
+void NodeConnections::abandon(int submit_index, Result result, Micros now) {
+  const OutstandingSubmit& submit = submits_[submit_index];
+  const int connection_index = submit.connection;
+  const int node = submit.node;
+  if (connection_index >= 0) {
+    if (try_withdraw(submit_index)) {
+      result = connections_[connection_index].stream ? Result::not_sent : Result::no_connection;
+    } else {
+      Connection& connection = connections_[connection_index];
+      std::replace(connection.submits.begin(), connection.submits.end(), submit_index, -1);
+      if (std::all_of(connection.submits.begin(), connection.submits.end(), [](int s) { return s < 0; }))
+        close_connection(connection_index, CloseReason::given_up);
+      if (result == Result::no_answer) close_idle_connections(node, submit.started_at);
+    }
+  }
+  end_submit(submit_index, result, now);
+}
+
+void NodeConnections::drain_node(int node) {
+  if (node >= static_cast<int>(nodes_.size())) return;
+  scratch_.clear();
+  for (int s : outstanding_)
+    if (submits_[s].node == node && submits_[s].connection >= 0) scratch_.push_back(s);
+  for (int s : scratch_)
+    if (try_withdraw(s)) detach(s, Result::not_sent);
+  for (const int c : std::vector<int>(nodes_[node].connections)) {
+    connections_[c].retired = true;
+    if (connections_[c].submits.empty()) close_connection(c, CloseReason::retired);
+  }
+}
+
+void NodeConnections::deliver_results(Micros now) {
+  delivering_results_.swap(pending_results_);
+  for (const PendingResult& pending : delivering_results_) {
+    const OutstandingSubmit& submit = submits_[pending.index];
+    if (submit.id != pending.id || submit.submit != pending.submit) continue;
+    if (pending.result == Result::called_off)
+      abandon(pending.index, pending.result, now);
+    else
+      end_submit(pending.index, pending.result, now);
+  }
+  delivering_results_.clear();
+  if (now - last_timeout_check_ < kTimeoutCheckIntervalUs) return;
+  last_timeout_check_ = now;
+  std::vector<int> due;
+  due.swap(scratch_);
+  due.clear();
+  for (int s : outstanding_)
+    if (submits_[s].deadline <= now) due.push_back(s);
+  for (int s : due) abandon(s, Result::no_answer, now);
+  due.assign(open_connections_.begin(), open_connections_.end());
+  for (int c : due) {
+    const Connection& connection = connections_[c];
+    if (connection.node < 0) continue;
+    const bool idle = connection.submits.empty();
+    if (!connection.stream && now - connection.opened_at > options_.connect_timeout)
+      fail_connection(c, CloseReason::not_up, "connect timed out");
+    else if (connection.reconnect_at > 0 && !connection.socket && now >= connection.reconnect_at)
+      connect(c);
+    else if (connection.partial_reply_at > 0 && now - connection.partial_reply_at > options_.connect_timeout)
+      on_malformed_reply(c, "the rest of a reply did not arrive in time");
+    else if (connection.stream && idle &&
+             now - connection.last_reply_at > static_cast<Micros>(kIdleTimeoutShare * options_.idle_timeout))
+      close_connection(c, CloseReason::idle);
+  }
+  due.swap(scratch_);
+}
+
+}  // namespace yewmount::node_connections
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -89,8 +89,8 @@
     if (!all.is_object()) throw BadInput("not an object");
     Deployment given;
     given.name = provision::get<std::string>(all, "name");
-    given.listen = members::endpoint(provision::get<std::string>(all, "listen"));
-    given.members = members::endpoint(provision::get<std::string>(all, "discovery"));
+    given.listen = discovery::parse_endpoint(provision::get<std::string>(all, "listen"));
+    given.members = discovery::parse_endpoint(provision::get<std::string>(all, "discovery"));
     const json& limits = provision::require_typed(all, "limits", json::value_t::object);
     given.sockets = limit(limits, "sockets", 2 * kSpareSockets);
     given.memory = limit(limits, "memory_mb", 1) << 20;
@@ -116,7 +116,7 @@
       members_(io, given_.platform.head.polls_list, given_.platform.head.seed, *this),
       now_(monotonic_now()),
       rules_(std::make_unique<Head>(given_.platform.head, *this, now_)) {
-  members_.know(given_.known);
+  members_.load_cached_list(given_.known);
   members_.follow(given_.members);
 }
 
@@ -156,7 +156,7 @@
   now();
   if (turned_ > 0 && now_ - turned_ > kStoodStill) ++counts_.stood_still;
   turned_ = now_;
-  nodes_.deliver(now_);
+  nodes_.deliver_results(now_);
   callers_.deliver();
   wakes_.run_due(now_, [&](std::uint64_t token) { rules_->on_timer(token); });
   rules_->run_scheduler();
@@ -164,7 +164,7 @@
   callers_.flush();
   if (now_ - looked_ >= kTidy) {
     looked_ = now_;
-    members_.check(now_);
+    members_.check_timeouts(now_);
     callers_.sweep(now_);
     callers_.flush();
   }
@@ -173,7 +173,7 @@
 
 void Relay::once_a_second(Micros now) {
   swept_ = now;
-  members_.tidy();
+  members_.release_gone_nodes();
   volumes_.release_unused(now - kVolumeRest, [&](int index) { return rules_->forget_volume(index); });
   if (now - told_ < kTell) return;
   told_ = now;
@@ -182,7 +182,7 @@
 
 nlohmann::ordered_json Relay::report() const {
   const callers::Counts& c = callers_.counts();
-  const nodes::Counts& n = nodes_.counts();
+  const node_connections::Counts& n = nodes_.counts();
   const Head::Footprint f = rules_->footprint();
   return {{"taken", counts_.taken},
           {"ended", counts_.ended},
@@ -201,25 +201,25 @@
           {"turned_back", c.turned_back},
           {"parted", c.parted},
           {"lingered", c.lingered},
-          {"connections", nodes_.connections()},
+          {"connections", nodes_.connection_count()},
           {"opened", n.opened},
           {"lost", n.connections_lost},
-          {"spoilt", n.spoilt},
-          {"strays", n.strays},
-          {"doubled_up", n.doubled_up},
-          {"no_room", n.no_room},
+          {"spoilt", n.malformed_replies},
+          {"strays", n.unexpected_replies},
+          {"doubled_up", n.pipelined},
+          {"no_room", n.no_connection_free},
           {"outcomes", by_name(kResultNames, counts_.outcomes)},
           {"given_up", by_name(kRejectionReasonNames, counts_.given_up)},
           {"denied", by_name(kDenialReasonNames, n.denied)},
           {"clients_closed", by_name(permits::kCloseReasons, c.closed)},
-          {"nodes_closed", by_name(nodes::kClosed, n.closed)},
+          {"nodes_closed", by_name(node_connections::kCloseReasonNames, n.closed)},
           {"violations",
            {{"late_answers", counts_.violations.late_answers},
             {"unasked_values", counts_.violations.unasked_values},
             {"closed_unanswered", c.closed_unanswered},
             {"answered_again", c.answered_again}}},
           {"list", members_.version()},
-          {"nodes", members_.kept()},
+          {"nodes", members_.node_count()},
           {"volumes", volumes_.size()},
           {"list_failures", members_.failures()},
           {"stood_still", counts_.stood_still},
@@ -304,14 +304,14 @@
   bio.volume = volumes_.acquire(volume, now_);
   work.give_up_at = bio.give_up_at;
   work.taken = came;
-  work.command.before.clear();
-  resp::append_array_header(work.command.before, static_cast<std::size_t>(command.count));
-  for (int i = 0; i < 3; ++i) resp::append_bulk_string(work.command.before, w[i]);
+  work.command.prefix.clear();
+  resp::append_array_header(work.command.prefix, static_cast<std::size_t>(command.count));
+  for (int i = 0; i < 3; ++i) resp::append_bulk_string(work.command.prefix, w[i]);
   work.command.fields = w[3];
   work.command.fields.erase(wait_at, wait_size);
-  work.command.wait = wait_at;
-  work.command.behind.clear();
-  if (write) resp::append_bulk_string(work.command.behind, w[4]);
+  work.command.time_left_offset = wait_at;
+  work.command.suffix.clear();
+  if (write) resp::append_bulk_string(work.command.suffix, w[4]);
   return nullptr;
 }
 
@@ -376,7 +376,7 @@
   const std::uint64_t id = works_[at].id;
   let_go(at);
   rules_->on_client_disconnected(id);
-  nodes_.retract(id);
+  nodes_.withdraw_unsent(id);
 }
 
 void Relay::parting(const callers::Caller& caller) {
@@ -385,7 +385,7 @@
   now();
   Work& work = works_[at];
   work.parting = true;
-  work.out -= nodes_.retract(work.id);
+  work.out -= nodes_.withdraw_unsent(work.id);
   if (work.out == 0) conclude(at);
 }
 
@@ -393,7 +393,7 @@
 void Relay::conclude(int at) {
   Work& work = works_[at];
   const std::uint64_t id = work.id;
-  work.out -= nodes_.retract(id);
+  work.out -= nodes_.withdraw_unsent(id);
   const bool run = work.may_have_run || work.out > 0;
   ++(work.parting ? counts_.left : run ? counts_.failed : counts_.shed);
   say_final(at, work.parting ? "left" : run ? "failed" : "shed", work.parting ? "client ended" : "stopping");
@@ -409,8 +409,8 @@
   by_name_.erase(work.name);
   in_hand_.erase(at);
   works_.release(at);
-  if (work.command.behind.capacity() > resp::kMaxLineBytes)
-    work.command.behind = {};  // a body's memory is not kept
+  if (work.command.suffix.capacity() > resp::kMaxLineBytes)
+    work.command.suffix = {};  // a body's memory is not kept
 }
 
 void Relay::shed(std::uint64_t id, Micros come_back_after, RejectionReason why) {
@@ -465,8 +465,8 @@
   return rules_->may_begin(id, no);
 }
 
-void Relay::submit_ended(const nodes::Ended& given) {
-  nodes::Ended ended = given;
+void Relay::on_submit_ended(const node_connections::EndedSubmit& given) {
+  node_connections::EndedSubmit ended = given;
 #ifdef YEWMOUNT_PLANTED_FAULT
   // For the tests' own judge only: what may have run is passed off as surely not run.
   if (ended.result == Result::lost || ended.result == Result::error) ended.result = Result::no_connection;
@@ -476,7 +476,7 @@
   const bool good = ended.result == Result::ended;
   if (trace_)
     logs::debug("ended", {{"id", ended.id},
-                          {"no", ended.no},
+                          {"no", ended.submit},
                           {"node", members_.node(ended.node).name},
                           {"result", kResultNames[static_cast<std::size_t>(ended.result)]},
                           {"lag", ended.lag},
@@ -491,14 +491,14 @@
   if (at >= 0) {
     if (works_[at].out <= 0) {
       ++counts_.violations.unasked_values;
-      logs::error("violation: an outcome of nothing that is out", {{"id", ended.id}, {"no", ended.no}});
+      logs::error("violation: an outcome of nothing that is out", {{"id", ended.id}, {"no", ended.submit}});
     }
     works_[at].last = ended.result;
     --works_[at].out;
     works_[at].may_have_run |= ended.result != Result::turned_away && ended.result != Result::no_connection &&
                                ended.result != Result::not_sent;
   }
-  rules_->on_submit_result({ended.id, ended.no, ended.node, ended.result, good || parting || at < 0,
+  rules_->on_submit_result({ended.id, ended.submit, ended.node, ended.result, good || parting || at < 0,
                             ended.lag, ended.volume_use, ended.from_others, ended.report});
   // The module may have shed or failed it in that call; a good answer ends it here.
   if (at < 0 || by_id_.find(ended.id) != at) return;
@@ -538,26 +538,26 @@
 void Relay::on_membership(ListKind kind, std::span<const NodeEntry> entries) {
   now();
   for (const NodeEntry& e : entries) {
-    const members::Known& n = members_.node(e.node);
+    const discovery::DiscoveredNode& n = members_.node(e.node);
     if (trace_)
       logs::debug("node", {{"node", n.name},
                            {"state", kNodeStateNames[static_cast<std::size_t>(e.state)]},
                            {"up_since", e.up_since},
                            {"version", members_.version()}});
-    if (e.state != NodeState::gone) nodes_.node_at(e.node, n.name, n.at, n.started);
-    if (e.state != NodeState::ready) nodes_.recall(e.node);
+    if (e.state != NodeState::gone) nodes_.set_node(e.node, n.name, n.endpoint, n.unix_start_time);
+    if (e.state != NodeState::ready) nodes_.drain_node(e.node);
   }
   rules_->update_node_list(kind, entries);
   if (kind == ListKind::full || kind == ListKind::cached) {
     for (int i = 0; i < members_.size(); ++i)
-      if (members_.node(i).used && members_.node(i).state == NodeState::gone) nodes_.recall(i);
+      if (members_.node(i).used && members_.node(i).state == NodeState::gone) nodes_.drain_node(i);
   }
 }
 
 // Only where all agree does any of them forget.
 bool Relay::may_reuse(int node) {
-  if (nodes_.busy(node) || !rules_->forget_node(node)) return false;
-  nodes_.forget(node);
+  if (nodes_.has_submits(node) || !rules_->forget_node(node)) return false;
+  nodes_.remove_node(node);
   return true;
 }
 
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -11,9 +11,9 @@
 #include <string_view>
 
 #include "callers/callers.h"
+#include "discovery/discovery_client.h"
 #include "event_loop/event_loop.h"
-#include "members/members.h"
-#include "nodes/nodes.h"
+#include "node_connections/node_connections.h"
 #include "provision/provision.h"
 #include "rules/containers.h"
 #include "rules/rules.h"
@@ -49,7 +49,10 @@
   Violations violations;
 };
 
-class Relay : public HeadEnvironment, public callers::Service, public nodes::Told, public members::Told {
+class Relay : public HeadEnvironment,
+              public callers::Service,
+              public node_connections::SubmitHandler,
+              public discovery::Observer {
  public:
   Relay(asio::io_context& io, Deployment given);
   ~Relay() override;
@@ -71,17 +74,17 @@
     int submits = 0, out = 0;                    // all there were; those without an outcome
     bool may_have_run = false, parting = false;  // parting: its client sends no more
     Result last = Result::not_sent;              // of its last submit that has an outcome
-    nodes::Command command;                      // as it goes to nodes
+    node_connections::Command command;           // as it goes to nodes
   };
 
   // callers::Service
   void asked(const callers::Caller& caller, const resp::Command& command, Micros came) override;
   void left(const callers::Caller& caller) override;
   void parting(const callers::Caller& caller) override;
-  // nodes::Told
+  // node_connections::SubmitHandler
   DenialReason may_begin(std::uint64_t id, int no) override;
-  void submit_ended(const nodes::Ended& ended) override;
-  // members::Told
+  void on_submit_ended(const node_connections::EndedSubmit& ended) override;
+  // discovery::Observer
   void on_membership(ListKind kind, std::span<const NodeEntry> entries) override;
   bool may_reuse(int node) override;
   // HeadEnvironment
@@ -107,8 +110,8 @@
   asio::io_context& io_;
   Deployment given_;
   callers::Callers callers_;
-  nodes::Nodes nodes_;
-  members::Members members_;
+  node_connections::NodeConnections nodes_;
+  discovery::DiscoveryClient members_;
   Micros now_ = 0;
   event_loop::TimerList wakes_;
   event_loop::IndexPool<std::uint64_t> volumes_;
