--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -100,8 +100,8 @@
     if (!config.is_object()) throw BadInput("not an object");
     Deployment deployment;
     deployment.name = provision::get<std::string>(config, "name");
-    deployment.listen = members::endpoint(provision::get<std::string>(config, "listen"));
-    deployment.discovery = members::endpoint(provision::get<std::string>(config, "discovery"));
+    deployment.listen = discovery::parse_endpoint(provision::get<std::string>(config, "listen"));
+    deployment.discovery = discovery::parse_endpoint(provision::get<std::string>(config, "discovery"));
     const json& limits = provision::require_typed(config, "limits", json::value_t::object);
     deployment.max_descriptors = read_limit(limits, "sockets", 2 * kReservedDescriptors);
     deployment.memory_bytes = read_limit(limits, "memory_mb", 1) << 20;
@@ -130,7 +130,7 @@
       members_(io, deployment_.platform.head.polls_list, deployment_.platform.head.seed, *this),
       now_(monotonic_now()),
       scheduler_(std::make_unique<Head>(deployment_.platform.head, *this, now_)) {
-  members_.know(deployment_.known_nodes);
+  members_.load_cached_list(deployment_.known_nodes);
   members_.follow(deployment_.discovery);
 }
 
@@ -171,7 +171,7 @@
   update_clock();
   if (last_iteration_at_ > 0 && now_ - last_iteration_at_ > kPauseThresholdUs) ++counts_.pauses;
   last_iteration_at_ = now_;
-  nodes_.deliver(now_);
+  nodes_.deliver_results(now_);
   sessions_.run_deferred();
   timers_.run_due(now_, [&](std::uint64_t token) { scheduler_->on_timer(token); });
   scheduler_->run_scheduler();
@@ -179,7 +179,7 @@
   sessions_.flush();
   if (now_ - last_check_at_ >= kCheckIntervalUs) {
     last_check_at_ = now_;
-    members_.check(now_);
+    members_.check_timeouts(now_);
     sessions_.close_overdue(now_);
     sessions_.flush();
   }
@@ -188,7 +188,7 @@
 
 void Relay::run_every_second(Micros now) {
   last_second_at_ = now;
-  members_.tidy();
+  members_.release_gone_nodes();
   volumes_.release_unused(now - kVolumeIdleUs, [&](int index) { return scheduler_->forget_volume(index); });
   if (now - last_report_at_ < kReportIntervalUs) return;
   last_report_at_ = now;
@@ -197,7 +197,7 @@
 
 nlohmann::ordered_json Relay::report() const {
   const client_sessions::Counts& session_counts = sessions_.counts();
-  const nodes::Counts& node_counts = nodes_.counts();
+  const node_connections::Counts& node_counts = nodes_.counts();
   const Head::Footprint footprint = scheduler_->footprint();
   return {{"taken", counts_.accepted},
           {"ended", counts_.completed},
@@ -216,25 +216,25 @@
           {"turned_back", session_counts.rejected_connections},
           {"parted", session_counts.half_closed},
           {"lingered", session_counts.lingering_closes},
-          {"connections", nodes_.connections()},
+          {"connections", nodes_.connection_count()},
           {"opened", node_counts.opened},
           {"lost", node_counts.connections_lost},
-          {"spoilt", node_counts.spoilt},
-          {"strays", node_counts.strays},
-          {"doubled_up", node_counts.doubled_up},
-          {"no_room", node_counts.no_room},
+          {"spoilt", node_counts.malformed_replies},
+          {"strays", node_counts.unexpected_replies},
+          {"doubled_up", node_counts.pipelined},
+          {"no_room", node_counts.no_connection_free},
           {"outcomes", nonzero_counts(kResultNames, counts_.results)},
           {"given_up", nonzero_counts(kRejectionReasonNames, counts_.rejections)},
           {"denied", nonzero_counts(kDenialReasonNames, node_counts.denied)},
           {"clients_closed", nonzero_counts(permits::kCloseReasons, session_counts.closed)},
-          {"nodes_closed", nonzero_counts(nodes::kClosed, node_counts.closed)},
+          {"nodes_closed", nonzero_counts(node_connections::kCloseReasonNames, node_counts.closed)},
           {"violations",
            {{"late_answers", counts_.violations.late_answers},
             {"unasked_values", counts_.violations.unexpected_results},
             {"closed_unanswered", session_counts.closed_unanswered},
             {"answered_again", session_counts.duplicate_answers}}},
           {"list", members_.version()},
-          {"nodes", members_.kept()},
+          {"nodes", members_.node_count()},
           {"volumes", volumes_.size()},
           {"list_failures", members_.failures()},
           {"stood_still", counts_.pauses},
@@ -328,14 +328,14 @@
   bio.volume = volumes_.acquire(volume, now_);
   request.give_up_at = bio.give_up_at;
   request.arrived_at = arrived_at;
-  request.command.before.clear();
-  resp::append_array_header(request.command.before, static_cast<std::size_t>(command.count));
-  for (int i = 0; i < 3; ++i) resp::append_bulk_string(request.command.before, words[i]);
+  request.command.prefix.clear();
+  resp::append_array_header(request.command.prefix, static_cast<std::size_t>(command.count));
+  for (int i = 0; i < 3; ++i) resp::append_bulk_string(request.command.prefix, words[i]);
   request.command.fields = words[3];
   request.command.fields.erase(wait_offset, wait_size);
-  request.command.wait = wait_offset;
-  request.command.behind.clear();
-  if (is_write) resp::append_bulk_string(request.command.behind, words[4]);
+  request.command.time_left_offset = wait_offset;
+  request.command.suffix.clear();
+  if (is_write) resp::append_bulk_string(request.command.suffix, words[4]);
   return nullptr;
 }
 
@@ -406,7 +406,7 @@
   const std::uint64_t id = requests_[index].id;
   release_request(index);
   scheduler_->on_client_disconnected(id);
-  nodes_.retract(id);
+  nodes_.withdraw_unsent(id);
 }
 
 void Relay::on_half_close(const client_sessions::CommandId& command_id) {
@@ -415,7 +415,7 @@
   update_clock();
   Request& request = requests_[index];
   request.client_half_closed = true;
-  request.in_flight -= nodes_.retract(request.id);
+  request.in_flight -= nodes_.withdraw_unsent(request.id);
   if (request.in_flight == 0) abort_request(index);
 }
 
@@ -424,7 +424,7 @@
 void Relay::abort_request(int index) {
   Request& request = requests_[index];
   const std::uint64_t id = request.id;
-  request.in_flight -= nodes_.retract(id);
+  request.in_flight -= nodes_.withdraw_unsent(id);
   const bool may_have_run = request.may_have_run || request.in_flight > 0;
   ++(request.client_half_closed ? counts_.abandoned : may_have_run ? counts_.failed : counts_.shed);
   record_final(index,
@@ -444,8 +444,8 @@
   by_client_id_.erase(request.client_id);
   active_.erase(index);
   requests_.release(index);
-  if (request.command.behind.capacity() > resp::kMaxLineBytes)
-    request.command.behind = {};  // frees the memory of a long value
+  if (request.command.suffix.capacity() > resp::kMaxLineBytes)
+    request.command.suffix = {};  // frees the memory of a long value
 }
 
 void Relay::shed(std::uint64_t id, Micros come_back_after, RejectionReason why) {
@@ -502,8 +502,8 @@
   return scheduler_->may_begin(id, no);
 }
 
-void Relay::submit_ended(const nodes::Ended& reported) {
-  nodes::Ended ended = reported;
+void Relay::on_submit_ended(const node_connections::EndedSubmit& reported) {
+  node_connections::EndedSubmit ended = reported;
 #ifdef YEWMOUNT_PLANTED_FAULT
   // For tests of the tests: results that may have run are reported as certainly not run.
   if (ended.result == Result::lost || ended.result == Result::error) ended.result = Result::no_connection;
@@ -513,7 +513,7 @@
   const bool succeeded = ended.result == Result::ended;
   if (is_tracing_)
     logs::debug("ended", {{"id", ended.id},
-                          {"no", ended.no},
+                          {"no", ended.submit},
                           {"node", members_.node(ended.node).name},
                           {"result", kResultNames[static_cast<std::size_t>(ended.result)]},
                           {"lag", ended.lag},
@@ -528,7 +528,7 @@
   if (index >= 0) {
     if (requests_[index].in_flight <= 0) {
       ++counts_.violations.unexpected_results;
-      logs::error("violation: an outcome of nothing that is out", {{"id", ended.id}, {"no", ended.no}});
+      logs::error("violation: an outcome of nothing that is out", {{"id", ended.id}, {"no", ended.submit}});
     }
     requests_[index].last_result = ended.result;
     --requests_[index].in_flight;
@@ -536,7 +536,7 @@
                                      ended.result != Result::no_connection &&
                                      ended.result != Result::not_sent;
   }
-  scheduler_->on_submit_result({ended.id, ended.no, ended.node, ended.result,
+  scheduler_->on_submit_result({ended.id, ended.submit, ended.node, ended.result,
                                 succeeded || half_closed || index < 0, ended.lag, ended.volume_use,
                                 ended.from_others, ended.report});
   // The scheduler may have shed or failed the request in that call. Otherwise a success ends it here.
@@ -578,26 +578,27 @@
 void Relay::on_membership(ListKind kind, std::span<const NodeEntry> entries) {
   update_clock();
   for (const NodeEntry& entry : entries) {
-    const members::Known& node = members_.node(entry.node);
+    const discovery::DiscoveredNode& node = members_.node(entry.node);
     if (is_tracing_)
       logs::debug("node", {{"node", node.name},
                            {"state", kNodeStateNames[static_cast<std::size_t>(entry.state)]},
                            {"up_since", entry.up_since},
                            {"version", members_.version()}});
-    if (entry.state != NodeState::gone) nodes_.node_at(entry.node, node.name, node.at, node.started);
-    if (entry.state != NodeState::ready) nodes_.recall(entry.node);
+    if (entry.state != NodeState::gone)
+      nodes_.set_node(entry.node, node.name, node.endpoint, node.unix_start_time);
+    if (entry.state != NodeState::ready) nodes_.drain_node(entry.node);
   }
   scheduler_->update_node_list(kind, entries);
   if (kind == ListKind::full || kind == ListKind::cached) {
     for (int i = 0; i < members_.size(); ++i)
-      if (members_.node(i).used && members_.node(i).state == NodeState::gone) nodes_.recall(i);
+      if (members_.node(i).used && members_.node(i).state == NodeState::gone) nodes_.drain_node(i);
   }
 }
 
 // The index of a node is recycled only if both the node connections and the scheduler have released it.
 bool Relay::may_reuse(int node) {
-  if (nodes_.busy(node) || !scheduler_->forget_node(node)) return false;
-  nodes_.forget(node);
+  if (nodes_.has_submits(node) || !scheduler_->forget_node(node)) return false;
+  nodes_.remove_node(node);
   return true;
 }
 
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -12,9 +12,9 @@
 #include <string_view>
 
 #include "client_sessions/client_sessions.h"
+#include "discovery/discovery_client.h"
 #include "event_loop/event_loop.h"
-#include "members/members.h"
-#include "nodes/nodes.h"
+#include "node_connections/node_connections.h"
 #include "provision/provision.h"
 #include "rules/containers.h"
 #include "rules/rules.h"
@@ -64,8 +64,8 @@
 // The event loop of one head, and the adapter between the scheduler and the network code.
 class Relay : public HeadEnvironment,
               public client_sessions::CommandHandler,
-              public nodes::Told,
-              public members::Told {
+              public node_connections::SubmitHandler,
+              public discovery::Observer {
  public:
   Relay(asio::io_context& io, Deployment deployment);
   ~Relay() override;
@@ -96,7 +96,7 @@
     bool may_have_run = false;
     bool client_half_closed = false;
     Result last_result = Result::not_sent;
-    nodes::Command command;  // as sent to nodes
+    node_connections::Command command;  // as sent to nodes
   };
 
   // client_sessions::CommandHandler
@@ -104,10 +104,10 @@
                   Micros arrived_at) override;
   void on_disconnect(const client_sessions::CommandId& command_id) override;
   void on_half_close(const client_sessions::CommandId& command_id) override;
-  // nodes::Told
+  // node_connections::SubmitHandler
   DenialReason may_begin(std::uint64_t id, int no) override;
-  void submit_ended(const nodes::Ended& ended) override;
-  // members::Told
+  void on_submit_ended(const node_connections::EndedSubmit& ended) override;
+  // discovery::Observer
   void on_membership(ListKind kind, std::span<const NodeEntry> entries) override;
   bool may_reuse(int node) override;
   // HeadEnvironment
@@ -133,8 +133,8 @@
   asio::io_context& io_;
   Deployment deployment_;
   client_sessions::ClientSessions sessions_;
-  nodes::Nodes nodes_;
-  members::Members members_;
+  node_connections::NodeConnections nodes_;
+  discovery::DiscoveryClient members_;
   Micros now_ = 0;
   event_loop::TimerList timers_;
   event_loop::IndexPool<std::uint64_t> volumes_;
