--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -30,11 +30,11 @@
                  USES glpk)
 yewmount_package(plans SOURCES src/plans/plan.cpp USES yewmount_settings)
 yewmount_package(planning SOURCES src/plans/problem.cpp src/plans/report.cpp USES yewmount_plans yewmount_solver)
-yewmount_package(carrier SOURCES src/carrier/carrier.cpp USES yewmount_net yewmount_base yewmount_rules)
-yewmount_package(list SOURCES src/list/follower.cpp USES yewmount_net yewmount_settings yewmount_rules)
+yewmount_package(carrier SOURCES src/node_transport/node_transport.cpp USES yewmount_net yewmount_base yewmount_rules)
+yewmount_package(list SOURCES src/node_list/list_client.cpp USES yewmount_net yewmount_settings yewmount_rules)
 yewmount_package(catalogue SOURCES src/catalogue/store.cpp src/catalogue/server.cpp src/catalogue/client.cpp
                  USES yewmount_net yewmount_base lmdb)
-yewmount_package(door SOURCES src/door/session.cpp USES yewmount_net yewmount_base http_parser)
+yewmount_package(door SOURCES src/http_server/http_server.cpp USES yewmount_net yewmount_base http_parser)
 yewmount_package(head SOURCES src/head/daemon.cpp src/head/scrubbing.cpp
                  USES yewmount_carrier yewmount_list yewmount_catalogue yewmount_door yewmount_settings yewmount_plans
                  yewmount_sums yewmount_background)
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -8,7 +8,7 @@
 endfunction()
 
 yewmount_test(wire SOURCES tests/wire/wire_test.cpp USES yewmount_wire)
-yewmount_test(carrier SOURCES tests/carrier/carrier_test.cpp USES yewmount_carrier)
+yewmount_test(carrier SOURCES tests/node_transport/node_transport_test.cpp USES yewmount_carrier)
 yewmount_test(catalogue SOURCES tests/catalogue/store_test.cpp USES yewmount_catalogue)
 yewmount_test(settings SOURCES tests/settings/head_settings_test.cpp USES yewmount_settings)
 
@@ -36,7 +36,7 @@
          ${CMAKE_SOURCE_DIR}/days/quick-errors.json)
 set_tests_properties(planted_fault_is_caught PROPERTIES PROCESSORS 2 TIMEOUT 120)
 add_test(NAME command_line COMMAND ${CMAKE_SOURCE_DIR}/tests/settings/command_line.sh ${CMAKE_BINARY_DIR}/bin)
-yewmount_test(list SOURCES tests/list/follower_test.cpp USES yewmount_list)
+yewmount_test(list SOURCES tests/node_list/list_client_test.cpp USES yewmount_list)
 yewmount_test(solver SOURCES tests/solver/small_test.cpp tests/solver/large_test.cpp USES yewmount_planning yewmount_judge)
 yewmount_test(background SOURCES tests/background/background_test.cpp USES yewmount_background)
 yewmount_test(sums SOURCES tests/checksums/checksums_test.cpp USES yewmount_sums)
--- a/src/head/daemon.cpp
+++ b/src/head/daemon.cpp
@@ -40,10 +40,11 @@
   start_scrub();
   list_.start(started_);
   take_plan();
-  door_ = std::make_unique<door::Door>(io, given_.listen.address, given_.listen.port,
-                                       door::Provision{given_.max_clients, given_.max_header_bytes,
-                                                       given_.client_idle_timeout, given_.header_timeout},
-                                       *this);
+  door_ = std::make_unique<http_server::Server>(
+      io, given_.listen.address, given_.listen.port,
+      http_server::ServerSettings{given_.max_clients, given_.max_header_bytes, given_.client_idle_timeout,
+                                  given_.header_timeout},
+      *this);
 }
 
 Daemon::~Daemon() = default;
@@ -67,7 +68,7 @@
   if (turned_ > 0 && now - turned_ > kStoodStill) ++counts_.stood_still;
   turned_ = now;
   rules_->set_time(now);
-  carrier_.deliver(now);
+  carrier_.deliver_results(now);
   wakes_.run_due(now, [&](std::uint64_t token) {
     rules_->on_timer(token);
     catalogue_.expire(now);
@@ -83,8 +84,8 @@
 
 void Daemon::once_a_second() {
   swept_ = monotonic_now();
-  door_->sweep(swept_);
-  list_.tidy();
+  door_->close_timed_out(swept_);
+  list_.release_indices();
   uses_.release_unused(swept_ - 60 * kSecond, [&](int index) { return rules_->forget_volume(index); });
 }
 
@@ -103,7 +104,7 @@
   for (const auto& [key, value] : given.restart_only.items())
     if (!given_.restart_only.contains(key)) return "'" + key + "' changes only with a restart";
   logs::set_level(given.log_level);
-  door_->provide(
+  door_->update_settings(
       {given.max_clients, given.max_header_bytes, given.client_idle_timeout, given.header_timeout});
   given.rules = given_.rules;
   given_ = std::move(given);
@@ -194,9 +195,10 @@
 void Daemon::on_membership(ListKind kind, std::span<const NodeEntry> entries) {
   if (kind != ListKind::failed)
     for (const NodeEntry& e : entries) {
-      const list::Known& n = list_.node(e.node);
-      if (e.state != NodeState::gone) carrier_.node_at(e.node, {n.name, n.address, n.port, n.start});
-      if (e.state != NodeState::ready) carrier_.recall(e.node, monotonic_now());
+      const node_list::NodeRecord& n = list_.node(e.node);
+      if (e.state != NodeState::gone)
+        carrier_.set_endpoint(e.node, {n.name, n.address, n.port, n.incarnation});
+      if (e.state != NodeState::ready) carrier_.withdraw_unsent(e.node, monotonic_now());
     }
   logs::info("list",
              {{"kind", static_cast<int>(kind)}, {"version", list_.version()}, {"entries", entries.size()}});
@@ -205,7 +207,7 @@
   rules_->update_node_list(kind, entries);
 }
 
-bool Daemon::may_reuse(int node) { return rules_->forget_node(node) && carrier_.forget(node); }
+bool Daemon::may_reuse(int node) { return rules_->forget_node(node) && carrier_.forget_node(node); }
 
 // --- what the module wants --------------------------------------------------------------------------------
 
@@ -251,7 +253,7 @@
 
 void Daemon::log_note(std::string_view text) { logs::info("module", {{"says", text}}); }
 
-void Daemon::probe_ended(int node, Result result, Micros lag, const LoadReport& report) {
+void Daemon::on_probe_ended(int node, Result result, Micros lag, const LoadReport& report) {
   rules_->set_time(monotonic_now());
   rules_->on_probe_result(node, result, lag, report);
 }
@@ -261,8 +263,8 @@
   return rules_->may_begin(id, no);
 }
 
-void Daemon::submit_ended(const carrier::Ended& given) {
-  carrier::Ended ended = given;
+void Daemon::on_submit_ended(const node_transport::SubmitResult& given) {
+  node_transport::SubmitResult ended = given;
 #ifdef YEWMOUNT_PLANTED_FAULT
   // For the judge's own test only: what may have run is passed off as surely not run.
   if (ended.result == Result::lost || ended.result == Result::error) ended.result = Result::no_connection;
@@ -278,20 +280,20 @@
                       ended.result != Result::not_sent;
     if (good) w.ended_at = ended.node;
   }
-  rules_->on_submit_result({ended.id, ended.no, ended.node, ended.result, good || at < 0, ended.lag,
-                            ended.volume_use, ended.from_others, ended.report});
+  rules_->on_submit_result({ended.id, ended.attempt, ended.node, ended.result, good || at < 0, ended.latency,
+                            ended.volume_use, ended.from_others, ended.load});
   // The module may have shed or failed it in that call; a good answer ends it here.
   if (!good || at < 0 || work_index_.find(ended.id) != at) return;
   ++counts_.ended;
-  conclude(at, ended.missing ? Final::missing : Final::ended, ended.data);
+  conclude(at, ended.extent_not_found ? Final::missing : Final::ended, ended.data);
 }
 
 // Not a byte goes on that isn't what was written: a flipped bit at rest or under way, a cut, another extent's
 // data. What was read wrong counts as an error of its node and may be read again.
-void Daemon::check_sums(Work& w, carrier::Ended& ended) {
-  if (w.kind != wire::IoKind::read || ended.missing || w.sum == 0) return;
-  const std::string_view why = checksums::find_mismatch(w.extent, w.extent_length, w.sum,
-                                                        {w.offset, w.length}, ended.data, ended.sums);
+void Daemon::check_sums(Work& w, node_transport::SubmitResult& ended) {
+  if (w.kind != wire::IoKind::read || ended.extent_not_found || w.sum == 0) return;
+  const std::string_view why = checksums::find_mismatch(
+      w.extent, w.extent_length, w.sum, {w.offset, w.length}, ended.data, ended.block_checksums);
   if (why.empty()) return;
   ++w.damaged;
   ++counts_.damaged;
@@ -348,7 +350,7 @@
   // As long as the client waits for the first byte of its answer; a later extent of a long read has time of
   // its own. Guards against a read that is begun anew, the object having been replaced, past its client's
   // patience.
-  const bool answering = e.session && e.session->answering();
+  const bool answering = e.session && e.session->has_begun_answer();
   if (!answering) give_up = std::min(give_up, e.answer_by);
   if (kind == wire::IoKind::write) give_up -= given_.catalogue_time_reserve;
   rules_->set_time(now);
@@ -480,7 +482,7 @@
   e.session->answer(e.may_have_run ? 504 : 502, headers_, body.dump() + "\n");
 }
 
-void Daemon::asked(door::Session& session, const door::Ask& ask) {
+void Daemon::on_request(http_server::Session& session, const http_server::Request& ask) {
   if (ask.volume == ".yewmount") return own_page(session, ask);
   const auto refuse = [&](int status, std::string_view why) {
     ++counts_.not_taken;
@@ -491,19 +493,20 @@
                    body.dump() + "\n");
   };
   if (drain_from_ >= 0) {
-    session.close_after();
+    session.close_after_answer();
     return refuse(503, "this head is draining");
   }
   if (static_cast<int>(open_.size()) >= given_.max_requests_in_flight) return refuse(503, "too much in hand");
   if (!given_.volumes.contains(ask.volume)) return refuse(404, "no such volume");
   if (ask.object.empty()) return refuse(404, "an object is named after the volume");
-  if (ask.method == door::Method::put && ask.length > static_cast<std::int64_t>(given_.max_object_bytes))
+  if (ask.method == http_server::Method::put &&
+      ask.length > static_cast<std::int64_t>(given_.max_object_bytes))
     return refuse(413, "larger than an object may be");
-  const auto method = ask.method == door::Method::put    ? settings::Method::put
-                      : ask.method == door::Method::drop ? settings::Method::remove
-                                                         : settings::Method::get;
+  const auto method = ask.method == http_server::Method::put      ? settings::Method::put
+                      : ask.method == http_server::Method::remove ? settings::Method::remove
+                                                                  : settings::Method::get;
   const int group = given_.group_for(ask.volume, method, std::max<std::int64_t>(ask.length, 0));
-  if (group < 0 && ask.method != door::Method::drop) return refuse(403, "no I/O group takes this");
+  if (group < 0 && ask.method != http_server::Method::remove) return refuse(403, "no I/O group takes this");
   const int at = open_exchange();
   Exchange& e = exchanges_[at];
   e.answered = false;
@@ -513,12 +516,12 @@
   session.exchange = at;
   const Micros now = monotonic_now();
   const Micros limit = group >= 0 ? given_.rules.groups[group].hard_limit : kSecond;
-  e.answer_by = now + (ask.patience > 0 ? std::min(limit, ask.patience) : limit);
+  e.answer_by = now + (ask.client_timeout > 0 ? std::min(limit, ask.client_timeout) : limit);
   switch (ask.method) {
-    case door::Method::put:
+    case http_server::Method::put:
       e.answer_by = INT64_MAX;  // a block I/O is taken, and time counts, when its bytes are here
       return;
-    case door::Method::drop: {
+    case http_server::Method::remove: {
       wire::ChangeRequest alter;
       alter.kind = wire::ChangeKind::remove;
       alter.volume = ask.volume, alter.name = ask.object;
@@ -535,7 +538,7 @@
   }
 }
 
-void Daemon::left(door::Session& session) {
+void Daemon::on_disconnect(http_server::Session& session) {
   const int at = session.exchange;
   session.exchange = -1;
   if (at < 0) return;
@@ -593,7 +596,7 @@
   }
   e.from = static_cast<std::uint64_t>(first);
   e.left = static_cast<std::uint64_t>(last - first + 1);
-  if (e.ask.method == door::Method::head || size == 0) {
+  if (e.ask.method == http_server::Method::head || size == 0) {
     e.answered = true;
     start_headers(e, "ended");
     headers_ += "Accept-Ranges: bytes\r\n";
@@ -619,8 +622,8 @@
     begin += e.object.extents[e.at++].length;
   if (e.at >= e.object.extents.size() || e.extents + 1 >= kExtentsMost) {
     logs::error("object and its extents disagree", {{"volume", e.ask.volume}, {"object", e.ask.object}});
-    if (e.session->answering())
-      e.session->cut();
+    if (e.session->has_begun_answer())
+      e.session->abort();
     else
       answer_failed(e, "its extents don't make up its length"), over(at);
     return;
@@ -636,7 +639,7 @@
 
 void Daemon::read_done(int at, Final final, std::string_view data) {
   Exchange& e = exchanges_[at];
-  if (final == Final::missing && !e.reread && !e.session->answering()) {
+  if (final == Final::missing && !e.reread && !e.session->has_begun_answer()) {
     // Another head may have replaced the object since this one looked: once more, from the catalogue itself.
     e.reread = true;
     return catalogue_.find(e.ask.volume, e.ask.object, e.answer_by, then(at, &Daemon::looked_up));
@@ -644,10 +647,10 @@
   if (final == Final::ended && data.size() >= e.skip + std::size_t{e.want})
     data = data.substr(e.skip, e.want);
   if (final != Final::ended || data.empty() || data.size() > e.left) {
-    if (e.session->answering()) {
+    if (e.session->has_begun_answer()) {
       // The status has gone out: only a broken connection tells that the rest does not come.
       const auto session = e.session;
-      return session->cut();
+      return session->abort();
     }
     if (e.damaged) {
       ++counts_.lost;
@@ -659,7 +662,7 @@
       answer_failed(e, final == Final::failed ? "no node answered in time" : "the data is not at its node");
     return over(at);
   }
-  if (!e.session->answering()) {
+  if (!e.session->has_begun_answer()) {
     start_headers(e, "ended");
     headers_ += "Accept-Ranges: bytes\r\n";
     if (e.ask.has_range)
@@ -675,43 +678,43 @@
     e.session->end_answer();
     return over(at);
   }
-  if (!e.session->full()) read_next(at);
+  if (!e.session->is_send_buffer_full()) read_next(at);
 }
 
-void Daemon::room(door::Session& session) {
+void Daemon::on_writable(http_server::Session& session) {
   const int at = session.exchange;
   if (at < 0) return;
   Exchange& e = exchanges_[at];
-  if (e.work < 0 && e.left > 0 && e.session->answering()) read_next(at);
+  if (e.work < 0 && e.left > 0 && e.session->has_begun_answer()) read_next(at);
 }
 
 // Writes: each extent is a block I/O once its bytes are here; the object stands once all have ended and the
 // catalogue has it on disk.
 
-void Daemon::body(door::Session& session, std::string_view bytes) {
+void Daemon::on_body(http_server::Session& session, std::string_view bytes) {
   const int at = session.exchange;
   if (at < 0) return;
   Exchange& e = exchanges_[at];
-  if (e.ask.method != door::Method::put) return;  // a body that nothing asked for
+  if (e.ask.method != http_server::Method::put) return;  // a body that nothing asked for
   e.body_bytes += bytes.size();
   if (e.body_bytes > given_.max_object_bytes) {
     if (e.work >= 0) {
-      session.cut();
+      session.abort();
       return;
     }
     answer_plain(e, 413, "larger than an object may be");
     return over(at);
   }
   e.body += bytes;
-  if (e.body.size() >= given_.extent_bytes) session.hold_body(true);
+  if (e.body.size() >= given_.extent_bytes) session.pause_body(true);
   if (e.body.size() >= given_.extent_bytes && e.work < 0) write_next(at);
 }
 
-void Daemon::body_done(door::Session& session) {
+void Daemon::on_body_end(http_server::Session& session) {
   const int at = session.exchange;
   if (at < 0) return;
   Exchange& e = exchanges_[at];
-  if (e.ask.method != door::Method::put) return;
+  if (e.ask.method != http_server::Method::put) return;
   e.body_done = true;
   if (e.work < 0) write_next(at);
 }
@@ -720,7 +723,8 @@
   Exchange& e = exchanges_[at];
   if (e.body_done && e.answer_by == INT64_MAX) {
     const Micros limit = given_.rules.groups[e.group].hard_limit;
-    e.answer_by = monotonic_now() + (e.ask.patience > 0 ? std::min(limit, e.ask.patience) : limit);
+    e.answer_by =
+        monotonic_now() + (e.ask.client_timeout > 0 ? std::min(limit, e.ask.client_timeout) : limit);
   }
   if (e.body.empty()) {
     if (e.body_done) record(at);
@@ -739,7 +743,7 @@
     data = e.body.substr(0, length);
     e.body.erase(0, length);
   }
-  if (!e.body_done) e.session->hold_body(false);
+  if (!e.body_done) e.session->pause_body(false);
   wire::PlacedExtent placed;
   placed.extent = {start_, ++last_extent_};
   placed.length = length;
@@ -862,7 +866,7 @@
       {"submits_total", counts_.submits},
       {"further_submits_total", counts_.further},
       {"clients_left_total", counts_.left},
-      {"not_taken_total", counts_.not_taken + door_->turned_back()},
+      {"not_taken_total", counts_.not_taken + door_->rejected_connections()},
       {"catalogue_failed_total", counts_.catalogue_failed},
       {"turns_total", counts_.turns},
       {"stood_still_total", counts_.stood_still},
@@ -876,7 +880,7 @@
       {"longest_turn_us", static_cast<std::uint64_t>(counts_.longest_turn)},
       {"in_hand", in_hand_.size()},
       {"held", f.queued},
-      {"submits_out", carrier_.out()},
+      {"submits_out", carrier_.in_flight()},
       {"clients", door_->clients()},
       {"node_connections", carrier_.connections()},
       {"list_version", list_.version()}};
@@ -889,8 +893,8 @@
   return text;
 }
 
-void Daemon::own_page(door::Session& session, const door::Ask& ask) {
-  if (ask.method != door::Method::get && ask.method != door::Method::head)
+void Daemon::own_page(http_server::Session& session, const http_server::Request& ask) {
+  if (ask.method != http_server::Method::get && ask.method != http_server::Method::head)
     return session.answer(405, "Allow: GET, HEAD\r\n", "");
   if (ask.object == "metrics")
     return session.answer(200, "Content-Type: text/plain; version=0.0.4\r\n", metrics());
--- a/src/head/daemon.h
+++ b/src/head/daemon.h
@@ -11,11 +11,11 @@
 #include <vector>
 
 #include "background/background.h"
-#include "carrier/carrier.h"
 #include "catalogue/client.h"
-#include "door/session.h"
 #include "event_loop/event_loop.h"
-#include "list/follower.h"
+#include "http_server/http_server.h"
+#include "node_list/list_client.h"
+#include "node_transport/node_transport.h"
 #include "plans/plan.h"
 #include "rules/containers.h"
 #include "rules/rules.h"
@@ -30,7 +30,10 @@
   Micros longest_turn = 0;
 };
 
-class Daemon : public HeadEnvironment, public carrier::Told, public list::Told, public door::Service {
+class Daemon : public HeadEnvironment,
+               public node_transport::TransportObserver,
+               public node_list::MembershipObserver,
+               public http_server::RequestHandler {
  public:
   // Throws one line: what can't be bound, read or believed.
   Daemon(asio::io_context& io, settings::HeadSettings given);
@@ -74,9 +77,9 @@
   };
 
   struct Exchange {  // of a client; its session may have left
-    std::shared_ptr<door::Session> session;
+    std::shared_ptr<http_server::Session> session;
     std::uint64_t token = 0;  // tells it from a later one at the same place
-    door::Ask ask;
+    http_server::Request ask;
     bool live = false, done = false, reread = false, effect = false, may_have_run = false, answered = false;
     int work = -1, group = -1;
     std::uint32_t extents = 0;  // taken so far
@@ -107,17 +110,17 @@
     const plans::VolumeAssignment* due = nullptr;  // null: no plan speaks of it now
   };
 
-  // door::Service
-  void asked(door::Session& session, const door::Ask& ask) override;
-  void body(door::Session& session, std::string_view bytes) override;
-  void body_done(door::Session& session) override;
-  void room(door::Session& session) override;
-  void left(door::Session& session) override;
-  // carrier::Told
+  // http_server::RequestHandler
+  void on_request(http_server::Session& session, const http_server::Request& ask) override;
+  void on_body(http_server::Session& session, std::string_view bytes) override;
+  void on_body_end(http_server::Session& session) override;
+  void on_writable(http_server::Session& session) override;
+  void on_disconnect(http_server::Session& session) override;
+  // node_transport::TransportObserver
   DenialReason may_begin(std::uint64_t id, int no) override;
-  void submit_ended(const carrier::Ended& ended) override;
-  void probe_ended(int node, Result result, Micros lag, const LoadReport& report) override;
-  // list::Told
+  void on_submit_ended(const node_transport::SubmitResult& ended) override;
+  void on_probe_ended(int node, Result result, Micros lag, const LoadReport& report) override;
+  // node_list::MembershipObserver
   void on_membership(ListKind kind, std::span<const NodeEntry> entries) override;
   bool may_reuse(int node) override;
   // HeadEnvironment
@@ -137,7 +140,7 @@
 
   void turn();
   void once_a_second();
-  void own_page(door::Session& session, const door::Ask& ask);
+  void own_page(http_server::Session& session, const http_server::Request& ask);
   std::string metrics() const;
 
   void looked_up(int exchange, catalogue::Result&& result);
@@ -170,7 +173,7 @@
   void save_scrub();
   nlohmann::json scrub_report() const;
 
-  void check_sums(Work& w, carrier::Ended& ended);
+  void check_sums(Work& w, node_transport::SubmitResult& ended);
   int take(int exchange, wire::IoKind kind, int group, const wire::PlacedExtent& extent, std::uint32_t offset,
            std::uint32_t length, std::string data, Step next);
   void conclude(int work, Final final, std::string_view data, Micros advice = 0);
@@ -187,10 +190,10 @@
   asio::io_context& io_;
   settings::HeadSettings given_;
   std::uint64_t start_;
-  carrier::Carrier carrier_;
-  list::Follower list_;
+  node_transport::NodeTransport carrier_;
+  node_list::ListClient list_;
   catalogue::Client catalogue_;
-  std::unique_ptr<door::Door> door_;
+  std::unique_ptr<http_server::Server> door_;
   std::unique_ptr<Head> rules_;
   Slab<Exchange> exchanges_;
   Slab<Work> works_;
