--- a/src/http_server/http_server.cpp
+++ b/src/http_server/http_server.cpp
@@ -120,7 +120,7 @@
   }
   static int field(http_parser* p, const char* at, std::size_t size) {
     Session& s = session_of(p);
-    if (s.in_header_value_ && !s.take_header()) return 1;
+    if (s.in_header_value_ && !s.apply_header()) return 1;
     s.in_header_value_ = false;
     s.header_name_.append(at, size);
     return 0;
@@ -133,7 +133,7 @@
   }
   static int headers(http_parser* p) {
     Session& s = session_of(p);
-    if (s.in_header_value_ && !s.take_header()) return 1;
+    if (s.in_header_value_ && !s.apply_header()) return 1;
     s.handle_headers();
     return 0;
   }
@@ -175,7 +175,7 @@
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
 }
 
-bool Session::take_header() {
+bool Session::apply_header() {
   const std::string_view value = trim(header_value_);
   if (equals_ignoring_case(header_name_, "range")) {
     // A range of another unit or form may be ignored (RFC 7233, 3.1); the whole object is sent then.
@@ -222,7 +222,7 @@
   for (const auto& [code, method] : methods)
     if (parser_.method == code) request_.method = method;
   exchange_open_ = true;
-  answer_begun_ = answer_ended_ = message_done_ = body_paused_ = wants_room_ = false;
+  answer_begun_ = answer_ended_ = message_done_ = body_paused_ = wants_output_space_ = false;
   request_.length = parser_.flags & F_CHUNKED ? -1
                     : parser_.content_length == UINT64_MAX
                         ? 0
--- a/src/http_server/http_server.h
+++ b/src/http_server/http_server.h
@@ -88,8 +88,8 @@
   void close();
   void refuse(int status, std::string_view why);
   void handle_headers();
-  bool take_header();
-  bool take_target(std::string_view target);
+  bool apply_header();
+  bool apply_target(std::string_view target);
   void finish_exchange();
   void notify_writable();
 
@@ -114,7 +114,7 @@
   bool closing_ = false;  // no further request is served
   bool in_header_value_ = false;
   bool idle_ = true;  // between requests
-  bool wants_room_ = false;
+  bool wants_output_space_ = false;
   bool parsing_ = false;
   bool expects_continue_ = false;
   bool send_shut_down_ = false;
