--- a/cmake/embed.cmake
+++ b/cmake/embed.cmake
@@ -1,4 +1,4 @@
-# Writes schemas.cpp: each schema/*.json as text, found by its name.
+# Generates OUT (schemas.cpp): embeds each IN/*.json as a string, looked up by file name without extension.
 file(GLOB files ${IN}/*.json)
 set(text "#include \"settings/json_schema.h\"\nnamespace yewmount::settings {\nstd::string_view schema(std::string_view name) {\n")
 foreach(file ${files})
--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -1,4 +1,4 @@
-# The program: libraries a package each, then the executables.
+# The daemon, its tools and its simulated peers: one static library per package, then the executables.
 find_package(CLI11 REQUIRED)
 find_package(spdlog REQUIRED)
 find_package(valijson QUIET)
@@ -39,7 +39,7 @@
                  USES yewmount_carrier yewmount_list yewmount_catalogue yewmount_door yewmount_settings yewmount_plans
                  yewmount_sums yewmount_background)
 
-# The platform's protocol: one more way in and out.
+# Relay mode: serves the platform's RESP protocol with its own client, node and discovery connections.
 yewmount_package(resp SOURCES src/resp/resp.cpp)
 yewmount_package(callers SOURCES src/callers/callers.cpp USES yewmount_net yewmount_resp yewmount_base)
 yewmount_package(nodes SOURCES src/nodes/nodes.cpp
@@ -59,14 +59,14 @@
 yewmount_program(yewmountd SOURCES src/head/main.cpp USES yewmount_head yewmount_relay)
 yewmount_program(yewmount-catalogue SOURCES src/catalogue/main.cpp USES yewmount_catalogue)
 
-# Stand-ins for what the program talks to; none of them is part of it.
+# Simulated nodes, discovery and clients for tests and demos; not part of the daemon.
 yewmount_program(yewmount-node SOURCES standins/node_main.cpp standins/node.cpp
                  USES yewmount_net yewmount_settings yewmount_sums)
 yewmount_program(yewmount-list SOURCES standins/list_main.cpp USES yewmount_net yewmount_base)
 yewmount_program(yewmount-client SOURCES standins/client_main.cpp
                  USES yewmount_net yewmount_settings http_parser)
 
-add_library(yewmount_judge STATIC judge/judge.cpp judge/plan.cpp)  # of the project only its own header: it shares nothing
+add_library(yewmount_judge STATIC judge/judge.cpp judge/plan.cpp)  # shares no code with the daemon, to be independent
 target_include_directories(yewmount_judge PUBLIC ${CMAKE_SOURCE_DIR})
 target_link_libraries(yewmount_judge PUBLIC nlohmann_json::nlohmann_json)
 
@@ -74,7 +74,7 @@
 yewmount_program(yewmount SOURCES src/cli/main.cpp src/cli/plan.cpp
                  USES yewmount_days yewmount_judge yewmount_settings yewmount_planning)
 
-# Benchmarks: cmake --build BUILD --target rules_bench head_bench
+# Benchmarks, excluded from the default build: cmake --build BUILD --target rules_bench head_bench
 find_package(benchmark QUIET)
 if(benchmark_FOUND)
   add_executable(rules_bench EXCLUDE_FROM_ALL bench/rules_bench.cpp)
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -1,4 +1,4 @@
-# Tests of the program: a binary a package, and the days played with processes.
+# Tests of the daemon: one test executable per package, and scenarios that run whole processes.
 function(yewmount_test package)
   cmake_parse_arguments(P "" "" "SOURCES;USES;PROPERTIES" ${ARGN})
   add_executable(${package}_tests ${P_SOURCES})
@@ -12,7 +12,8 @@
 yewmount_test(catalogue SOURCES tests/catalogue/store_test.cpp USES yewmount_catalogue)
 yewmount_test(settings SOURCES tests/settings/head_settings_test.cpp USES yewmount_settings)
 
-# Each day is played by processes of its own and judged; two at a time leave the machine some air.
+# Runs each scenario with its own processes and checks the result. PROCESSORS 2 limits how many run at once, so
+# that timing stays reliable.
 file(GLOB days CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/days/*.json)
 foreach(day ${days})
   get_filename_component(name ${day} NAME_WE)
@@ -24,7 +25,8 @@
 yewmount_test(judge SOURCES tests/judge/judge_test.cpp USES yewmount_judge)
 yewmount_test(head SOURCES tests/head/head_test.cpp USES yewmount_head)
 
-# A head that passes off what may have run as surely not run: the judge must catch it. Never installed.
+# A head with a planted fault: it reports requests that may have run as never run. The checks must detect it.
+# Never installed.
 add_executable(yewmountd-planted EXCLUDE_FROM_ALL src/head/main.cpp src/head/daemon.cpp src/head/scrubbing.cpp
                src/relay/relay.cpp)
 target_compile_definitions(yewmountd-planted PRIVATE YEWMOUNT_PLANTED_FAULT)
@@ -43,7 +45,7 @@
 yewmount_test(plans SOURCES tests/plans/plan_test.cpp tests/plans/random_test.cpp USES yewmount_planning yewmount_judge)
 add_test(NAME plan_command_line COMMAND ${CMAKE_SOURCE_DIR}/tests/plans/command_line.sh ${CMAKE_BINARY_DIR}/bin)
 
-# Preloaded into heads: system calls fail for a moment, the wall clock is stepped.
+# LD_PRELOAD library for heads: makes system calls fail temporarily and steps the wall clock.
 add_library(syscall_faults SHARED tests/support/syscall_faults.cpp)
 target_link_libraries(syscall_faults PRIVATE ${CMAKE_DL_LIBS})
 
@@ -56,11 +58,11 @@
                            SYSCALL_FAULTS="$<TARGET_FILE:syscall_faults>")
 add_dependencies(relay_tests yewmountd yewmountd-planted syscall_faults)
 
-# The tools of this repository itself.
+# Tests of the scripts in tools/.
 add_test(NAME variant_tool COMMAND ${CMAKE_SOURCE_DIR}/tests/variant/variant_test.sh)
 add_test(NAME known_red_tool COMMAND ${CMAKE_SOURCE_DIR}/tests/known_red/known_red_test.sh)
 
-# Randomized faults over real processes. The seeds here are fixed; tools/soak plays others.
+# Random faults against real processes. The seeds here are fixed; tools/soak runs other seeds.
 add_executable(yewmount-soak tests/soak/main.cpp tests/soak/plan.cpp tests/soak/node.cpp tests/soak/discovery.cpp
                tests/soak/clients.cpp tests/soak/proxy.cpp tests/soak/oracle.cpp)
 target_include_directories(yewmount-soak PRIVATE ${CMAKE_SOURCE_DIR})
