--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -21,7 +21,7 @@
 yewmount_package(base SOURCES src/base/base.cpp USES spdlog::spdlog nlohmann_json::nlohmann_json)
 yewmount_package(wire SOURCES src/wire/wire.cpp)
 yewmount_package(background SOURCES src/background/background.cpp)
-yewmount_package(sums SOURCES src/checksums/checksums.cpp USES yewmount_wire)
+yewmount_package(checksums SOURCES src/checksums/checksums.cpp USES yewmount_wire)
 yewmount_package(net SOURCES src/net/stream.cpp src/net/link.cpp src/net/listener.cpp
                  USES yewmount_wire yewmount_base Threads::Threads)
 yewmount_package(settings SOURCES src/settings/json_schema.cpp src/settings/head_settings.cpp ${schemas}
@@ -30,25 +30,26 @@
                  USES glpk)
 yewmount_package(plans SOURCES src/plans/plan.cpp USES yewmount_settings)
 yewmount_package(planning SOURCES src/plans/problem.cpp src/plans/report.cpp USES yewmount_plans yewmount_solver)
-yewmount_package(carrier SOURCES src/node_transport/node_transport.cpp USES yewmount_net yewmount_base yewmount_rules)
-yewmount_package(list SOURCES src/node_list/list_client.cpp USES yewmount_net yewmount_settings yewmount_rules)
+yewmount_package(node_transport SOURCES src/node_transport/node_transport.cpp
+                 USES yewmount_net yewmount_base yewmount_rules)
+yewmount_package(node_list SOURCES src/node_list/list_client.cpp USES yewmount_net yewmount_settings yewmount_rules)
 yewmount_package(catalogue SOURCES src/catalogue/store.cpp src/catalogue/server.cpp src/catalogue/client.cpp
                  USES yewmount_net yewmount_base lmdb)
-yewmount_package(door SOURCES src/http_server/http_server.cpp USES yewmount_net yewmount_base http_parser)
+yewmount_package(http_server SOURCES src/http_server/http_server.cpp USES yewmount_net yewmount_base http_parser)
 yewmount_package(head SOURCES src/head/daemon.cpp src/head/scrubbing.cpp
-                 USES yewmount_carrier yewmount_list yewmount_catalogue yewmount_door yewmount_settings yewmount_plans
-                 yewmount_sums yewmount_background)
+                 USES yewmount_node_transport yewmount_node_list yewmount_catalogue yewmount_http_server
+                 yewmount_settings yewmount_plans yewmount_checksums yewmount_background)
 
 # The platform's protocol: one more way in and out.
 yewmount_package(resp SOURCES src/resp/resp.cpp)
 yewmount_package(client_sessions SOURCES src/client_sessions/client_sessions.cpp
                  USES yewmount_net yewmount_resp yewmount_base)
-yewmount_package(nodes SOURCES src/node_connections/node_connections.cpp
+yewmount_package(node_connections SOURCES src/node_connections/node_connections.cpp
                  USES yewmount_net yewmount_resp yewmount_base yewmount_provision)
-yewmount_package(members SOURCES src/discovery/discovery_client.cpp
+yewmount_package(discovery SOURCES src/discovery/discovery_client.cpp
                  USES yewmount_net yewmount_base yewmount_provision http_parser)
-yewmount_package(relay SOURCES src/relay/relay.cpp USES yewmount_client_sessions yewmount_nodes yewmount_members
-                 yewmount_settings)
+yewmount_package(relay SOURCES src/relay/relay.cpp
+                 USES yewmount_client_sessions yewmount_node_connections yewmount_discovery yewmount_settings)
 
 function(yewmount_program name)
   cmake_parse_arguments(P "" "" "SOURCES;USES" ${ARGN})
@@ -62,7 +63,7 @@
 
 # Stand-ins for what the program talks to; none of them is part of it.
 yewmount_program(yewmount-node SOURCES standins/node_main.cpp standins/node.cpp
-                 USES yewmount_net yewmount_settings yewmount_sums)
+                 USES yewmount_net yewmount_settings yewmount_checksums)
 yewmount_program(yewmount-list SOURCES standins/list_main.cpp USES yewmount_net yewmount_base)
 yewmount_program(yewmount-client SOURCES standins/client_main.cpp
                  USES yewmount_net yewmount_settings http_parser)
@@ -80,8 +81,8 @@
 if(benchmark_FOUND)
   add_executable(rules_bench EXCLUDE_FROM_ALL bench/rules_bench.cpp)
   target_link_libraries(rules_bench PRIVATE yewmount_rules benchmark::benchmark)
-  add_executable(sums_bench EXCLUDE_FROM_ALL bench/sums_bench.cpp)
-  target_link_libraries(sums_bench PRIVATE yewmount_sums benchmark::benchmark)
+  add_executable(checksums_bench EXCLUDE_FROM_ALL bench/checksums_bench.cpp)
+  target_link_libraries(checksums_bench PRIVATE yewmount_checksums benchmark::benchmark)
 endif()
 add_executable(head_bench EXCLUDE_FROM_ALL bench/head_bench.cpp)
 target_link_libraries(head_bench PRIVATE yewmount_days yewmount_net CLI11::CLI11)
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -8,7 +8,7 @@
 endfunction()
 
 yewmount_test(wire SOURCES tests/wire/wire_test.cpp USES yewmount_wire)
-yewmount_test(carrier SOURCES tests/node_transport/node_transport_test.cpp USES yewmount_carrier)
+yewmount_test(node_transport SOURCES tests/node_transport/node_transport_test.cpp USES yewmount_node_transport)
 yewmount_test(catalogue SOURCES tests/catalogue/store_test.cpp USES yewmount_catalogue)
 yewmount_test(settings SOURCES tests/settings/head_settings_test.cpp USES yewmount_settings)
 
@@ -28,19 +28,19 @@
 add_executable(yewmountd-planted EXCLUDE_FROM_ALL src/head/main.cpp src/head/daemon.cpp src/head/scrubbing.cpp
                src/relay/relay.cpp)
 target_compile_definitions(yewmountd-planted PRIVATE YEWMOUNT_PLANTED_FAULT)
-target_link_libraries(yewmountd-planted PRIVATE yewmount_carrier yewmount_list yewmount_catalogue yewmount_door
-                      yewmount_settings yewmount_plans yewmount_sums yewmount_background yewmount_client_sessions
-                      yewmount_nodes
-                      yewmount_members CLI11::CLI11)
+target_link_libraries(yewmountd-planted PRIVATE yewmount_node_transport yewmount_node_list yewmount_catalogue
+                      yewmount_http_server yewmount_settings yewmount_plans yewmount_checksums
+                      yewmount_background yewmount_client_sessions yewmount_node_connections
+                      yewmount_discovery CLI11::CLI11)
 set_target_properties(yewmountd-planted PROPERTIES EXCLUDE_FROM_ALL OFF)
 add_test(NAME planted_fault_is_caught COMMAND ${CMAKE_SOURCE_DIR}/tests/judge/planted.sh ${CMAKE_BINARY_DIR}
          ${CMAKE_SOURCE_DIR}/days/quick-errors.json)
 set_tests_properties(planted_fault_is_caught PROPERTIES PROCESSORS 2 TIMEOUT 120)
 add_test(NAME command_line COMMAND ${CMAKE_SOURCE_DIR}/tests/settings/command_line.sh ${CMAKE_BINARY_DIR}/bin)
-yewmount_test(list SOURCES tests/node_list/list_client_test.cpp USES yewmount_list)
+yewmount_test(node_list SOURCES tests/node_list/list_client_test.cpp USES yewmount_node_list)
 yewmount_test(solver SOURCES tests/solver/small_test.cpp tests/solver/large_test.cpp USES yewmount_planning yewmount_judge)
 yewmount_test(background SOURCES tests/background/background_test.cpp USES yewmount_background)
-yewmount_test(sums SOURCES tests/checksums/checksums_test.cpp USES yewmount_sums)
+yewmount_test(checksums SOURCES tests/checksums/checksums_test.cpp USES yewmount_checksums)
 yewmount_test(plans SOURCES tests/plans/plan_test.cpp tests/plans/random_test.cpp USES yewmount_planning yewmount_judge)
 add_test(NAME plan_command_line COMMAND ${CMAKE_SOURCE_DIR}/tests/plans/command_line.sh ${CMAKE_BINARY_DIR}/bin)
 
@@ -51,7 +51,7 @@
 yewmount_test(resp SOURCES tests/resp/resp_test.cpp USES yewmount_resp)
 yewmount_test(relay SOURCES tests/relay/relay_test.cpp tests/relay/node_connections_test.cpp
               tests/relay/connection_reuse_test.cpp
-              USES yewmount_nodes nlohmann_json::nlohmann_json PROPERTIES PROCESSORS 2 TIMEOUT 60)
+              USES yewmount_node_connections nlohmann_json::nlohmann_json PROPERTIES PROCESSORS 2 TIMEOUT 60)
 target_compile_definitions(relay_tests PRIVATE YEWMOUNTD="$<TARGET_FILE:yewmountd>"
                            YEWMOUNTD_PLANTED="$<TARGET_FILE:yewmountd-planted>"
                            SYSCALL_FAULTS="$<TARGET_FILE:syscall_faults>")
