--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -388,7 +388,7 @@
   scheduler_->enqueue(bio);
 }
 
-// Returns the index of the active request that the command became, or -1.
+// Returns the index of the active request of a command, or -1.
 int Relay::find(const client_sessions::CommandId& command_id) const {
   for (int index : active_)
     if (requests_[index].command_id.connection_id == command_id.connection_id &&
@@ -491,7 +491,7 @@
   nodes_.submit(id, request.submits++, node, request.command, now_, try_for);
 }
 
-// Checks the scheduler's rules, and by its socket whether the client has just closed.
+// Applies the rules of the scheduler, and checks the socket of the client, which may just have closed.
 DenialReason Relay::may_begin(std::uint64_t id, int no) {
   update_clock();
   const int index = by_id_.find(id);
@@ -505,7 +505,8 @@
 void Relay::submit_ended(const nodes::Ended& reported) {
   nodes::Ended ended = reported;
 #ifdef YEWMOUNT_PLANTED_FAULT
-  // For tests of the tests: results that may have run are reported as certainly not run.
+  // A deliberate fault, built only for the tests, which must detect it: submits that may have run are reported
+  // as certainly not run.
   if (ended.result == Result::lost || ended.result == Result::error) ended.result = Result::no_connection;
 #endif
   update_clock();
