--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -505,8 +505,8 @@
 void Relay::submit_ended(const nodes::Ended& reported) {
   nodes::Ended ended = reported;
 #ifdef YEWMOUNT_PLANTED_FAULT
-  // A deliberate fault, built only for the tests, which must detect it: submits that may have run are reported
-  // as certainly not run.
+  // A deliberate fault, built only for the tests, which must detect it: submits that may have run are
+  // reported as certainly not run.
   if (ended.result == Result::lost || ended.result == Result::error) ended.result = Result::no_connection;
 #endif
   update_clock();
